--- a/src/cluster/calls.rs
+++ b/src/cluster/actions.rs
@@ -1,9 +1,9 @@
 //! Carrying out what the scheduler decides.
 
 use super::control::Output;
-use super::ledger::Changes;
 use super::log_lines;
 use super::node::Node;
+use super::pending_writes::Changes;
 use super::records::EmptiedRecord;
 use crate::core::JobId;
 use crate::scheduler::{
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -1,8 +1,8 @@
 //! Committing what the ledger holds, and telling the scheduler what is stored.
 
-use super::ledger::Batch;
 use super::node::Node;
-use super::services::{
+use super::pending_writes::Batch;
+use super::store_types::{
     Committed,
     StoreError, //
 };
--- a/src/cluster/daemon.rs
+++ b/src/cluster/daemon.rs
@@ -1,15 +1,15 @@
 //! Starting, running and draining a daemon on an operator's platform.
 
-use super::calls;
+use super::actions;
+use super::client_requests;
 use super::control::Control;
-use super::entry;
-use super::follow;
 use super::heartbeat;
 use super::log_lines::BoundedLines;
 use super::node::Node;
-use super::peers::Peers;
+use super::peer_connections::Peers;
 use super::settings::ClusterSettings;
 use super::store_probe;
+use super::store_watch;
 use super::submit;
 use crate::events;
 use crate::platform::{
@@ -206,10 +206,10 @@
             source,
         })?);
         let node = Node::open(settings, timer, store, workers, machines, control, boot);
-        actix_rt::spawn(calls::run(node.clone(), decided));
+        actix_rt::spawn(actions::run(node.clone(), decided));
         actix_rt::spawn(store_probe::run(node.clone()));
-        actix_rt::spawn(follow::operators(node.clone()));
-        actix_rt::spawn(follow::members(node.clone()));
+        actix_rt::spawn(store_watch::operators(node.clone()));
+        actix_rt::spawn(store_watch::members(node.clone()));
         actix_rt::spawn(heartbeat::send(node.clone(), beats.clone()));
         actix_rt::spawn(heartbeat::receive(node.clone(), beats));
         actix_rt::spawn(heartbeat::elect(node.clone()));
@@ -220,7 +220,7 @@
         let own = node.clone();
         actix_rt::spawn(serve(questions, move |request: Request| {
             let own = own.clone();
-            async move { entry::readiness(&own, request.path()) }
+            async move { client_requests::readiness(&own, request.path()) }
         }));
         actix_rt::spawn(serve(scrapes, move |_| {
             let text = metrics.render();
@@ -228,7 +228,7 @@
         }));
         let own = node.clone();
         actix_rt::spawn(serve(clients, move |request| {
-            entry::answer(own.clone(), request)
+            client_requests::answer(own.clone(), request)
         }));
         events::log(
             events::DAEMON_STARTED,
--- a/src/cluster/emptying.rs
+++ b/src/cluster/emptying.rs
@@ -5,16 +5,16 @@
 //! from a revision on. So each news carries the store's revision, and what is
 //! older than what is known changes nothing.
 
+use super::invalid_values::{
+    StoredKind,
+    Unused, //
+};
 use super::node::Node;
-use super::services::{
+use super::store_types::{
     Range,
     StoreEvent,
     StoredItem, //
 };
-use super::unused::{
-    StoredKind,
-    Unused, //
-};
 use crate::events;
 use crate::platform::emptied_data_centre;
 use crate::scheduler::{
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -1,5 +1,9 @@
 //! What is stored of a fleet, read by people: it needs no daemon that answers.
 
+use super::invalid_values::{
+    StoredKind,
+    Unused, //
+};
 use super::records::{
     CLOSED_PREFIX,
     ClosedRecord,
@@ -23,15 +27,11 @@
     progress_key,
     read_job_key, //
 };
-use super::services::{
+use super::store_types::{
     StoreError,
     StoredItem, //
 };
-use super::stored_news::read_wave;
-use super::unused::{
-    StoredKind,
-    Unused, //
-};
+use super::stored_inputs::read_wave;
 use crate::core::JobId;
 use crate::platform::{
     CONFIGURATION_KEY,
--- a/src/cluster/unused.rs
+++ b/src/cluster/invalid_values.rs
@@ -9,7 +9,7 @@
     self,
     UnusedLine, //
 };
-use super::services::StoredItem;
+use super::store_types::StoredItem;
 use crate::platform::WorkerEntryError;
 use std::collections::{
     HashSet,
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,33 +1,33 @@
 //! A daemon on an operator's platform: every daemon takes clients' requests,
 //! and one of them owns the fleet's scheduling by an epoch in the store.
 
-mod calls;
+mod actions;
+mod client_requests;
 mod commits;
 mod control;
 mod daemon;
 mod election;
 mod emptying;
-mod entry;
-mod follow;
 mod heartbeat;
 mod inspect;
-mod ledger;
+mod invalid_values;
 mod log_lines;
 mod node;
 mod ownership;
+mod peer_connections;
 mod peer_frame;
 mod peer_table;
-mod peers;
+mod pending_writes;
 mod records;
-mod services;
 mod settings;
 mod store_calls;
 mod store_health;
 mod store_probe;
-mod stored_news;
+mod store_types;
+mod store_watch;
+mod stored_inputs;
 mod submit;
-mod unread_jobs;
-mod unused;
+mod unreadable_jobs;
 
 pub use control::{
     Command,
@@ -55,8 +55,19 @@
     inspect_fleet,
     inspect_job, //
 };
+pub use invalid_values::{
+    StoredKind,
+    Unused,
+    UnusedValues, //
+};
 pub use records::job_id;
-pub use services::{
+pub use settings::ClusterSettings;
+pub use store_health::{
+    CallKey,
+    HealthChange,
+    StoreHealth, //
+};
+pub use store_types::{
     Committed,
     MAX_TRANSACTION_ENTRIES,
     Range,
@@ -66,14 +77,3 @@
     Transaction,
     Watched, //
 };
-pub use settings::ClusterSettings;
-pub use store_health::{
-    CallKey,
-    HealthChange,
-    StoreHealth, //
-};
-pub use unused::{
-    StoredKind,
-    Unused,
-    UnusedValues, //
-};
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -11,22 +11,22 @@
     owner_heard_ms, //
 };
 use super::emptying::EmptyingOrders;
-use super::ledger::Ledger;
+use super::invalid_values::{
+    StoredKind,
+    Unused,
+    UnusedValues, //
+};
+use super::peer_connections::Peers;
 use super::peer_table::{
     Peer,
     PeerTable, //
 };
-use super::peers::Peers;
-use super::services::{
-    StoreError,
-    StoredItem, //
-};
+use super::pending_writes::Ledger;
 use super::settings::ClusterSettings;
 use super::store_calls::StoreCalls;
-use super::unused::{
-    StoredKind,
-    Unused,
-    UnusedValues, //
+use super::store_types::{
+    StoreError,
+    StoredItem, //
 };
 use crate::core::JobId;
 use crate::events;
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::commits;
 use super::emptying;
-use super::follow;
+use super::invalid_values::StoredKind;
 use super::node::{
     KnownOwner,
     Node, //
@@ -20,12 +20,13 @@
     decode_root,
     encode, //
 };
-use super::services::{
+use super::store_types::{
     Committed,
     StoreError,
     Transaction, //
 };
-use super::stored_news::{
+use super::store_watch;
+use super::stored_inputs::{
     closed_records,
     closed_workers,
     emptied_records,
@@ -34,8 +35,7 @@
     wave_inputs,
     worker_inputs, //
 };
-use super::unread_jobs;
-use super::unused::StoredKind;
+use super::unreadable_jobs;
 use crate::events;
 use crate::platform::{
     EMPTYING_PREFIX,
@@ -80,7 +80,7 @@
             known
         }
     };
-    if follow::learn_root(node, &known) && !node.is_over(&known.owner, known.boot) {
+    if store_watch::learn_root(node, &known) && !node.is_over(&known.owner, known.boot) {
         // Somebody took over just now: wait for its heartbeats.
         return Ok(());
     }
@@ -170,7 +170,7 @@
 async fn begin(node: &Rc<Node>, taken: &Taken) -> Result<(), StoreError> {
     let (epoch, began_ms) = (taken.epoch, taken.began_ms);
     if node.doubts_configuration() {
-        actix_rt::spawn(follow::refresh_configuration(node.clone()));
+        actix_rt::spawn(store_watch::refresh_configuration(node.clone()));
     }
     let asked_ms = node.now_ms();
     let (jobs, progress, roster, closed, workers, waves, states, orders, emptied) = tokio::try_join!(
@@ -241,10 +241,10 @@
     );
     metrics::counter!("fuchsiaslip_takeovers_total", "reason" => taken.reason).increment(1);
     actix_rt::spawn(commits::run(node.clone(), epoch));
-    actix_rt::spawn(follow::waves(node.clone(), epoch));
-    actix_rt::spawn(follow::jobs(node.clone(), epoch, jobs.revision));
-    actix_rt::spawn(follow::workers(node.clone(), epoch, workers));
-    actix_rt::spawn(unread_jobs::read_again(node.clone(), epoch));
+    actix_rt::spawn(store_watch::waves(node.clone(), epoch));
+    actix_rt::spawn(store_watch::jobs(node.clone(), epoch, jobs.revision));
+    actix_rt::spawn(store_watch::workers(node.clone(), epoch, workers));
+    actix_rt::spawn(unreadable_jobs::read_again(node.clone(), epoch));
     actix_rt::spawn(confirm(node.clone(), epoch));
     Ok(())
 }
--- a/src/cluster/peer_frame.rs
+++ b/src/cluster/peer_frame.rs
@@ -22,7 +22,7 @@
     /// What may be told of a job?
     #[prost(fixed64, tag = "2")]
     ViewOf(u64),
-    /// The view, as a number of [`super::peers::code_of`].
+    /// The view, as a number of [`super::peer_connections::code_of`].
     #[prost(uint32, tag = "3")]
     View(u32),
     /// How many jobs of a queue wait?
--- a/src/cluster/ledger.rs
+++ b/src/cluster/pending_writes.rs
@@ -21,7 +21,7 @@
     job_key,
     progress_key, //
 };
-use super::services::{
+use super::store_types::{
     MAX_TRANSACTION_ENTRIES,
     StoredItem,
     Transaction, //
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,6 +1,6 @@
 //! Keys and values that the product keeps in the store.
 
-use super::unused::Unused;
+use super::invalid_values::Unused;
 use crate::core::JobId;
 use crate::scheduler::{
     ClosedRuns,
--- a/src/cluster/store_calls.rs
+++ b/src/cluster/store_calls.rs
@@ -1,12 +1,12 @@
 //! Calls to the store: noting how they go, and giving up those that fell into a
 //! silence of the store.
 
-use super::services::StoreError;
 use super::store_health::{
     CallKey,
     HealthChange,
     StoreHealth, //
 };
+use super::store_types::StoreError;
 use crate::events;
 use crate::timer::Timer;
 use std::cell::RefCell;
--- a/src/cluster/follow.rs
+++ b/src/cluster/store_watch.rs
@@ -1,6 +1,10 @@
 //! Following what changes in the store.
 
 use super::emptying;
+use super::invalid_values::{
+    StoredKind,
+    Unused, //
+};
 use super::node::{
     KnownOwner,
     Node, //
@@ -20,7 +24,7 @@
     member_key,
     read_job_key, //
 };
-use super::services::{
+use super::store_types::{
     Range,
     StoreError,
     StoreEvent,
@@ -28,16 +32,12 @@
     Transaction,
     Watched, //
 };
-use super::stored_news::{
+use super::stored_inputs::{
     wave_inputs,
     wave_order,
     worker_input,
     worker_inputs, //
 };
-use super::unused::{
-    StoredKind,
-    Unused, //
-};
 use crate::platform::{
     CONFIGURATION_KEY,
     OPERATOR_PREFIX,
--- a/src/cluster/stored_news.rs
+++ b/src/cluster/stored_inputs.rs
@@ -4,11 +4,15 @@
 //! both translate here, so a value means the same to them. A value that cannot be
 //! used is told to on-call.
 
-use super::ledger::{
+use super::invalid_values::{
+    StoredKind,
+    Unused, //
+};
+use super::node::Node;
+use super::pending_writes::{
     Changes,
     FoundEmptied, //
 };
-use super::node::Node;
 use super::records::{
     CLOSED_PREFIX,
     ClosedRecord,
@@ -21,14 +25,10 @@
     job_id,
     read_job_key, //
 };
-use super::services::{
+use super::store_types::{
     Range,
     StoredItem, //
 };
-use super::unused::{
-    StoredKind,
-    Unused, //
-};
 use crate::core::JobId;
 use crate::platform::{
     WAVES_PREFIX,
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -5,12 +5,13 @@
 //! already, is accepted; refused before anything was sent is not accepted; no
 //! answer is neither, and the caller is told to ask again with the same name.
 
+use super::invalid_values::StoredKind;
 use super::node::Node;
+use super::peer_connections::view_of;
 use super::peer_frame::{
     JobBytes,
     PeerBody, //
 };
-use super::peers::view_of;
 use super::records::{
     ROOT_KEY,
     cancelled_key,
@@ -20,12 +21,11 @@
     job_key,
     progress_key, //
 };
-use super::services::{
+use super::store_types::{
     Committed,
     StoreError,
     Transaction, //
 };
-use super::unused::StoredKind;
 use crate::core::JobId;
 use crate::scheduler::{
     Input,
@@ -345,7 +345,7 @@
     match body {
         PeerBody::ViewOf(job) => {
             let view = node.control.view(JobId(job)).await?;
-            Some(PeerBody::View(super::peers::code_of(view)))
+            Some(PeerBody::View(super::peer_connections::code_of(view)))
         }
         PeerBody::PendingOf(queue) => node.control.pending(&queue).await.map(PeerBody::Pending),
         PeerBody::Accepted(job) => {
--- a/src/cluster/unread_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -5,6 +5,7 @@
 //! would make a job without its progress. A job whose record somebody removed is
 //! taken for cancelled.
 
+use super::invalid_values::StoredKind;
 use super::node::Node;
 use super::records::{
     decode_job_record,
@@ -12,8 +13,7 @@
     job_key,
     progress_key, //
 };
-use super::services::StoreError;
-use super::unused::StoredKind;
+use super::store_types::StoreError;
 use crate::core::JobId;
 use crate::scheduler::Input;
 use std::rc::Rc;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,7 +6,6 @@
 mod control;
 mod directory;
 mod entry;
-mod keeper;
 mod kill;
 mod patch;
 mod peer;
@@ -15,6 +14,7 @@
 mod status;
 mod traffic;
 mod watch;
+mod worker_monitor;
 
 pub use auth::{
     Caller,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -8,7 +8,6 @@
     EntryCommand,
     Shared, //
 };
-use super::keeper::Keeper;
 use super::kill::{
     Kill,
     Killed, //
@@ -22,6 +21,7 @@
 use super::status::Status;
 use super::traffic;
 use super::watch::Watch;
+use super::worker_monitor::Keeper;
 use crate::backend::{
     HttpPlatform,
     ListAnswer,
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -3,23 +3,23 @@
 //! A ledger is a small root value, changed by one compare-and-swap for each
 //! group of changes, and pages into which older changes are folded.
 
-mod book;
 mod envelope;
+mod job_pages;
 mod journal;
 mod record;
 mod root;
 
-pub use book::{
-    Book,
-    FoldedPage,
-    PageRecord, //
-};
 pub use envelope::{
     EnvelopeError,
     MAX_VALUE_BYTES,
     open,
     seal, //
 };
+pub use job_pages::{
+    Book,
+    FoldedPage,
+    PageRecord, //
+};
 pub use journal::{
     Journal,
     JournalEvent, //
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -10,7 +10,7 @@
 mod outbox;
 mod requests;
 mod state;
-mod store_side;
+mod store_events;
 mod workers;
 
 pub use message::{
--- a/src/scheduler/crashes.rs
+++ b/src/scheduler/crashes.rs
@@ -37,7 +37,7 @@
     Decision,
     JobFailure, //
 };
-use super::progress::FinalState;
+use super::job_progress::FinalState;
 use super::state::Scheduler;
 use super::worker::Contact;
 use super::{
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -12,8 +12,8 @@
     Action,
     Decision, //
 };
+use super::freshness::View;
 use super::state::Scheduler;
-use super::view::View;
 use super::worker::Contact;
 use super::{
     Resources,
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -7,7 +7,7 @@
 //! Limits: patient work may always use the larger part of the fleet, and work that
 //! has to run all the time is not held back.
 
-use super::order::OrderRule;
+use super::ordering::OrderRule;
 use super::state::Scheduler;
 use super::{
     GroupKey,
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -6,12 +6,12 @@
     JobFailure,
     StopReason, //
 };
-use super::progress::{
+use super::job_progress::{
     FinalState,
     GroupProgress, //
 };
+use super::queue_terms::priority_under;
 use super::state::Scheduler;
-use super::terms::priority_under;
 use super::{
     Action,
     GroupKey,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -4,46 +4,50 @@
 //! [`Input`] and the current time and returns the [`Action`]s to carry out.
 //! The daemon, the replay of loads and the tests of failures run this code.
 
+mod acknowledgement;
 mod action;
-mod blind;
-mod closing;
+mod closed_workers;
 mod configuration;
 mod crashes;
+mod dispatch;
+mod draining;
 mod emptying;
-mod ends;
-mod entries;
-mod estimate;
-mod evidence;
+mod freshness;
 mod group;
 mod headroom;
-mod held;
 mod id;
 mod input;
 mod job;
-mod leaving;
-mod looks;
+mod job_progress;
 mod membership;
-mod noting;
 mod occurrence;
-mod order;
-mod orders;
-mod pass;
+mod ordering;
 mod placement;
-mod preempt;
-mod progress;
-mod reserve;
-mod restart;
-mod sharing;
+mod poll_report;
+mod polling;
+mod preemption;
+mod queue_terms;
+mod recovery;
+mod reservation;
+mod run_ends;
+mod run_time_model;
+mod scheduling_pass;
 mod spec;
-mod speed;
 mod state;
-mod terms;
+mod throttling;
 mod tuning;
-mod unread;
+mod unreadable;
 mod upkeep;
-mod view;
 mod worker;
+mod worker_entries;
+mod worker_health;
+mod worker_restart;
+mod worker_speed;
 
+pub use acknowledgement::{
+    HeardEnd,
+    WaitsFor, //
+};
 pub use action::{
     Action,
     Callee,
@@ -66,8 +70,6 @@
     CrashedRun, //
 };
 pub use emptying::EmptyingOrder;
-pub use entries::AddressDispute;
-pub use estimate::RunTimes;
 pub use group::{
     Group,
     GroupKey,
@@ -92,19 +94,15 @@
     GraphJob,
     JobView, //
 };
-pub use noting::{
-    HeardEnd,
-    WaitsFor, //
+pub use job_progress::{
+    FinalState,
+    ProgressRecord, //
 };
-pub use order::{
+pub use ordering::{
     OrderRule,
     Terms, //
 };
-pub use progress::{
-    FinalState,
-    ProgressRecord, //
-};
-pub use restart::LateStart;
+pub use run_time_model::RunTimes;
 pub use spec::{
     JobRecord,
     JobSpec,
@@ -112,10 +110,6 @@
     Schedule,
     StepSpec, //
 };
-pub use speed::{
-    Belief,
-    Progress, //
-};
 pub use state::{
     Scheduler,
     Sizes, //
@@ -133,3 +127,9 @@
     RunPhase,
     Worker, //
 };
+pub use worker_entries::AddressDispute;
+pub use worker_restart::LateStart;
+pub use worker_speed::{
+    Belief,
+    Progress, //
+};
--- a/src/scheduler/looks.rs
+++ b/src/scheduler/polling.rs
@@ -35,7 +35,7 @@
             worker.runs.values().any(|run| run.serves) && worker.runs.values().any(|run| run.fills);
         let wait_ms = match (quick, shares) {
             (true, _) => 0,
-            (false, true) => super::sharing::SHARED_LOOK_WAIT_MS,
+            (false, true) => super::throttling::SHARED_LOOK_WAIT_MS,
             (false, false) => wait_ms,
         };
         let lease_end_ms = if authority && worker.contact == Contact::Answering {
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preemption.rs
@@ -12,7 +12,7 @@
 //! asks again only after its victims had time to stop.
 
 use super::action::StopReason;
-use super::order::{
+use super::ordering::{
     LATE_PART,
     Ranked,
     Tier, //
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -1,10 +1,10 @@
 //! Taking in the ends of runs.
 
+use super::acknowledgement::HeardEnd;
 use super::action::{
     Decision,
     StopReason, //
 };
-use super::noting::HeardEnd;
 use super::state::Scheduler;
 use super::{
     EndKind,
--- a/src/scheduler/pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,7 +1,7 @@
 //! One pass: waiting work is offered the room there is.
 
 use super::action::Action;
-use super::order::{
+use super::ordering::{
     OrderRule,
     Ranked,
     Tier, //
@@ -12,7 +12,7 @@
     Seat,
     place, //
 };
-use super::reserve::{
+use super::reservation::{
     ExpectedEnds,
     KEPT_GANGS, //
 };
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -5,9 +5,9 @@
     Decision, //
 };
 use super::emptying::Emptying;
+use super::freshness::View;
 use super::headroom::Demand;
 use super::upkeep::Upkeep;
-use super::view::View;
 use super::worker::Contact;
 use super::{
     Belief,
@@ -47,7 +47,7 @@
 
 /// A thread that wakes up this late was stopped, or its VM was: a successor
 /// starts new work this long after it took over, since by then it is heard.
-const PAUSE_MS: u64 = super::blind::DEPOSED_MS;
+const PAUSE_MS: u64 = super::recovery::DEPOSED_MS;
 /// A pause is so many times longer than the usual time between decisions.
 const PAUSE_FACTOR: f64 = 4.0;
 /// Weight of a new gap in the usual one: ten gaps tell what is usual.
