--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -92,11 +92,11 @@
     for item in items {
         let worker_name = item.key.strip_prefix(WORKERS_PREFIX).unwrap_or_default();
         let input = match decode_worker(worker_name, &item.value) {
-            Ok(info) => Input::Worker(info),
+            Ok(info) => Input::WorkerRegistered(info),
             Err(error) => {
                 let reason = error.reason();
                 unused.note(StoredKind::Worker, item, &error.into(), NOW_MS);
-                Input::WorkerUnusable {
+                Input::WorkerEntryUnusable {
                     worker_name: worker_name.to_owned(),
                     reason,
                 }
--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -10,7 +10,7 @@
 #[path = "../tests/support/replay.rs"]
 mod replay;
 
-use fuchsiaslip::scheduler::OrderRule;
+use fuchsiaslip::scheduler::OrderingPolicy;
 use replay::{
     Figures,
     LOADS,
@@ -69,9 +69,9 @@
         .filter(|load| only.as_ref().is_none_or(|only| load.name.contains(only)));
     for load in chosen {
         for (name, order) in [
-            ("worth", OrderRule::Worth),
-            ("first_come", OrderRule::FirstCome),
-            ("shortest", OrderRule::Shortest),
+            ("worth", OrderingPolicy::Worth),
+            ("first_come", OrderingPolicy::FirstCome),
+            ("shortest", OrderingPolicy::Shortest),
         ] {
             let runs: Vec<Figures> = SEEDS
                 .iter()
--- a/src/cluster/actions.rs
+++ b/src/cluster/actions.rs
@@ -35,13 +35,13 @@
     let mut emptied = Vec::new();
     for action in output.actions {
         match action {
-            Action::Hold {
+            Action::Poll {
                 callee,
                 last_seen,
                 lease_end_ms,
                 wait_ms,
             } => {
-                let looking = look(
+                let polling = poll(
                     node.clone(),
                     epoch,
                     callee,
@@ -49,7 +49,7 @@
                     lease_end_ms,
                     wait_ms,
                 );
-                actix_rt::spawn(looking);
+                actix_rt::spawn(polling);
             }
             Action::Start {
                 callee,
@@ -71,12 +71,12 @@
             Action::Stop { callee, name } => {
                 actix_rt::spawn(stop(node.clone(), epoch, callee, name));
             }
-            Action::Pace {
+            Action::Throttle {
                 callee,
                 name,
                 percent,
             } => {
-                actix_rt::spawn(pace(node.clone(), epoch, callee, name, percent));
+                actix_rt::spawn(throttle(node.clone(), epoch, callee, name, percent));
             }
             Action::Advise { step, workers } => {
                 actix_rt::spawn(advise(node.clone(), epoch, step, workers));
@@ -87,8 +87,8 @@
             Action::BeginUpkeep { wave, machine } => {
                 actix_rt::spawn(begin_upkeep(node.clone(), epoch, wave, machine));
             }
-            Action::StoreWave { wave, completed } => waves.push((wave, completed)),
-            Action::StoreEmptied {
+            Action::StoreWaveState { wave, completed } => waves.push((wave, completed)),
+            Action::StoreEmptiedDataCentre {
                 data_centre,
                 revision,
             } => {
@@ -98,13 +98,15 @@
                 });
                 emptied.push((data_centre.to_string(), record));
             }
-            Action::Forget { job } => forgotten.push(job),
-            Action::Deposed => {
+            Action::DeleteJob { job } => forgotten.push(job),
+            Action::OwnershipLost => {
                 node.stop_owning("worker_fenced");
                 return;
             }
             Action::Decided(decision) => log_lines::decision(epoch, &decision),
-            Action::Store { .. } | Action::StoreRoster | Action::StoreClosed { .. } => {}
+            Action::StoreProgress { .. }
+            | Action::StoreRoster
+            | Action::StoreClosedWorker { .. } => {}
         }
     }
     node.ledger.add(Changes {
@@ -125,7 +127,7 @@
     ticket: Option<Arc<str>>,
 }
 
-async fn look(
+async fn poll(
     node: Rc<Node>,
     epoch: u64,
     callee: Callee,
@@ -135,9 +137,9 @@
 ) {
     let sent_ms = node.now_ms();
     let worker = callee.worker;
-    let held = node
+    let answer = node
         .workers
-        .hold(
+        .poll(
             &callee.address,
             &callee.worker_name,
             epoch,
@@ -146,13 +148,13 @@
             wait_ms,
         )
         .await;
-    let input = match held {
-        Ok(report) => Input::Held {
+    let input = match answer {
+        Ok(report) => Input::PollAnswered {
             worker,
             sent_ms,
             report,
         },
-        Err(outcome) => Input::HoldFailed { worker, outcome },
+        Err(outcome) => Input::PollFailed { worker, outcome },
     };
     node.control.take(epoch, input);
 }
@@ -173,7 +175,7 @@
         )
         .await;
     note_order(&node, "start", sent_ms, outcome);
-    let input = Input::StartOver {
+    let input = Input::StartResult {
         worker: callee.worker,
         name: order.name,
         outcome,
@@ -187,7 +189,7 @@
     let outcome = workers.stop(&callee.address, &callee.worker_name, epoch, name);
     let outcome = outcome.await;
     note_order(&node, "stop", sent_ms, outcome);
-    let input = Input::StopOver {
+    let input = Input::StopResult {
         worker: callee.worker,
         name,
         outcome,
@@ -195,13 +197,13 @@
     node.control.take(epoch, input);
 }
 
-async fn pace(node: Rc<Node>, epoch: u64, callee: Callee, name: RunName, percent: u32) {
+async fn throttle(node: Rc<Node>, epoch: u64, callee: Callee, name: RunName, percent: u32) {
     let sent_ms = node.now_ms();
     let workers = &node.workers;
-    let outcome = workers.pace(&callee.address, &callee.worker_name, epoch, name, percent);
+    let outcome = workers.throttle(&callee.address, &callee.worker_name, epoch, name, percent);
     let outcome = outcome.await;
     note_order(&node, "pace", sent_ms, outcome);
-    let input = Input::PaceOver {
+    let input = Input::ThrottleResult {
         worker: callee.worker,
         name,
         outcome,
@@ -220,7 +222,7 @@
     if machines.is_none() {
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "machines_unread").increment(1);
     }
-    let input = Input::Machines { sent_ms, machines };
+    let input = Input::MachineList { sent_ms, machines };
     node.control.take(epoch, input);
 }
 
@@ -229,7 +231,7 @@
         Some(machines) => machines.begin_upkeep(wave, &machine, epoch).await,
         None => UpkeepOutcome::Limited,
     };
-    let input = Input::UpkeepOver {
+    let input = Input::UpkeepResult {
         wave,
         machine,
         outcome,
@@ -263,7 +265,7 @@
         }
         None => None,
     };
-    let input = Input::Advised {
+    let input = Input::AdviceResult {
         step,
         asked: workers.iter().map(|(worker, _)| *worker).collect(),
         approved,
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -34,7 +34,7 @@
         match outcome {
             Ok(Committed::Done { revision }) => {
                 node.ledger.committed(&batch, revision);
-                node.control.take(epoch, Input::Confirmed(sent_ms));
+                node.control.take(epoch, Input::EpochConfirmed(sent_ms));
                 tell_stored(&node, epoch, batch);
                 node.timer.after(GATHER_MS).await;
             }
@@ -60,11 +60,12 @@
 /// Tells the scheduler what it may rely on from now on.
 fn tell_stored(node: &Node, epoch: u64, batch: Batch) {
     for (job, change) in batch.progress {
-        node.control.take(epoch, Input::Stored { job, change });
+        node.control
+            .take(epoch, Input::ProgressStored { job, change });
     }
     for (worker_name, record) in batch.closed {
         if let Some(closed) = record.map(|record| record.closed) {
-            let input = Input::ClosedStored {
+            let input = Input::ClosedWorkerStored {
                 worker_name,
                 closed,
             };
@@ -72,7 +73,7 @@
         }
     }
     for job in batch.forgotten {
-        node.control.take(epoch, Input::Forgotten(job));
+        node.control.take(epoch, Input::JobDeleted(job));
     }
     if let Some(workers) = batch.roster {
         node.control.take(epoch, Input::RosterStored(workers));
--- a/src/cluster/control.rs
+++ b/src/cluster/control.rs
@@ -160,7 +160,7 @@
         if now_ms >= gauges_at_ms {
             gauges_at_ms = now_ms + GAUGES_MS;
             show_sizes(&scheduler.sizes());
-            show_kept("unnoted_ends", scheduler.unnoted_ends());
+            show_kept("unnoted_ends", scheduler.unacknowledged_end_count());
         }
         let output = decide(scheduler, timer.now_ms());
         if !output.actions.is_empty() && outputs.send(output).is_err() {
@@ -174,9 +174,9 @@
         ("jobs", sizes.jobs),
         ("groups", sizes.groups),
         ("workers", sizes.workers),
-        ("leaving_jobs", sizes.leaving_jobs),
+        ("leaving_jobs", sizes.deleting_jobs),
         ("queues", sizes.queues),
-        ("unread_jobs", sizes.unread_jobs),
+        ("unread_jobs", sizes.unreadable_jobs),
     ];
     for (what, count) in kept {
         show_kept(what, count);
@@ -237,11 +237,11 @@
     let mut closed = BTreeMap::new();
     for action in &actions {
         match action {
-            Action::Store { job } => {
+            Action::StoreProgress { job } => {
                 changed.insert(*job);
             }
             Action::StoreRoster => roster = true,
-            Action::StoreClosed { worker } => {
+            Action::StoreClosedWorker { worker } => {
                 let row = scheduler.closed_row(*worker);
                 let row = row.map(|(closed, runs)| ClosedRecord::of(closed, &runs));
                 let info = &scheduler.workers()[worker.index()].info;
--- a/src/cluster/emptying.rs
+++ b/src/cluster/emptying.rs
@@ -156,7 +156,7 @@
 /// What this daemon knows, as news for the scheduler.
 pub fn input(node: &Node) -> Input {
     let known = node.emptying();
-    Input::Emptying {
+    Input::EmptyingOrdersRead {
         orders: known.in_force(),
         checked_ms: known.checked_ms(),
     }
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -110,7 +110,7 @@
     behind_since_ms: Cell<Option<u64>>,
     fetching: Cell<bool>,
     unused: RefCell<UnusedValues>,
-    unread_jobs: RefCell<BTreeSet<JobId>>,
+    unreadable_jobs: RefCell<BTreeSet<JobId>>,
 }
 
 impl Node {
@@ -150,7 +150,7 @@
             behind_since_ms: Cell::new(None),
             fetching: Cell::new(false),
             unused: RefCell::default(),
-            unread_jobs: RefCell::default(),
+            unreadable_jobs: RefCell::default(),
             timer,
         })
     }
@@ -293,21 +293,21 @@
         self.unused.borrow_mut().note(kind, item, why, now_ms);
     }
 
-    /// A value of a job does not read: it is read again, until it does. The
-    /// scheduler is told by who found it.
-    pub fn note_unread(&self, job: JobId) {
-        self.unread_jobs.borrow_mut().insert(job);
+    /// A stored value of a job cannot be decoded: it is read again until it can be.
+    /// Whoever found it tells the scheduler.
+    pub fn note_unreadable(&self, job: JobId) {
+        self.unreadable_jobs.borrow_mut().insert(job);
     }
 
-    /// Jobs with a value that does not read, from `from` on.
-    pub fn unread_jobs(&self, from: JobId, most: usize) -> Vec<JobId> {
-        let jobs = self.unread_jobs.borrow();
+    /// Jobs with a value that cannot be decoded, from `from` on.
+    pub fn unreadable_jobs(&self, from: JobId, most: usize) -> Vec<JobId> {
+        let jobs = self.unreadable_jobs.borrow();
         jobs.range(from..).take(most).copied().collect()
     }
 
-    /// The values of a job read now, or are gone.
-    pub fn job_read(&self, job: JobId) {
-        self.unread_jobs.borrow_mut().remove(&job);
+    /// The values of a job can be decoded now, or are gone.
+    pub fn job_readable(&self, job: JobId) {
+        self.unreadable_jobs.borrow_mut().remove(&job);
     }
 
     /// Begins to drain.
@@ -340,7 +340,7 @@
         self.epoch.set(epoch);
         self.root_revision.set(root_revision);
         self.owning_began.notify_one();
-        self.unread_jobs.borrow_mut().clear();
+        self.unreadable_jobs.borrow_mut().clear();
         self.learn_owner(KnownOwner {
             epoch,
             name: self.settings.daemon.clone(),
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -205,7 +205,7 @@
                 stored.extend(known_workers(node, rows, records));
             }
             None => {
-                stored.push(Input::RosterUnread);
+                stored.push(Input::RosterUnreadable);
                 stored.extend(closed_workers(records));
             }
         }
@@ -220,8 +220,8 @@
     stored.push(emptying::input(node));
     let found = emptied_records(node, &emptied);
     node.ledger.note_emptied(found, &node.emptying().in_force());
-    stored.push(Input::Confirmed(began_ms));
-    stored.push(Input::Recovered {
+    stored.push(Input::EpochConfirmed(began_ms));
+    stored.push(Input::StoredStateRead {
         earlier_owner_over: taken.earlier_owner_over,
     });
     let (job_count, worker_count) = (jobs.items.len(), workers.items.len());
@@ -259,7 +259,7 @@
         }
         match root {
             Ok(Some(item)) if item.revision == node.root_revision() => {
-                node.control.take(epoch, Input::Confirmed(sent_ms));
+                node.control.take(epoch, Input::EpochConfirmed(sent_ms));
                 node.timer.after(CONFIRM_MS).await;
             }
             Ok(_) => return node.stop_owning("root_changed"),
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -203,7 +203,7 @@
         return;
     }
     if let Some(order) = wave_order(node, item) {
-        node.control.take(node.epoch(), Input::Wave(order));
+        node.control.take(node.epoch(), Input::UpkeepWave(order));
     }
 }
 
@@ -375,13 +375,13 @@
                     progress: None,
                 },
                 None => {
-                    node.note_unread(id);
-                    Input::JobUnread(id)
+                    node.note_unreadable(id);
+                    Input::JobUnreadable(id)
                 }
             };
             node.control.take(epoch, input);
         }
-        Some(JobKeyKind::Cancelled(id)) => node.control.take(epoch, Input::Cancelled(id)),
+        Some(JobKeyKind::Cancelled(id)) => node.control.take(epoch, Input::JobCancelled(id)),
         None => node.note_unused(StoredKind::Job, item, &Unused::because("bad_name")),
     }
 }
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -74,7 +74,7 @@
             changed.push((row.worker_name.clone(), Some(open)));
         }
         let record = record.flatten();
-        inputs.push(Input::KnownWorker {
+        inputs.push(Input::RosterWorker {
             closed_with: record.and_then(|record| record.closed_with()),
             worker_name: row.worker_name,
             address: row.address,
@@ -121,7 +121,7 @@
     let open = waves.items.iter().filter_map(|item| {
         let order = wave_order(node, item)?;
         let done = completed.contains(&wave_state_key(order.number).as_str());
-        (!done).then_some(Input::Wave(order))
+        (!done).then_some(Input::UpkeepWave(order))
     });
     open.collect()
 }
@@ -155,11 +155,11 @@
 pub fn worker_input(node: &Node, item: &StoredItem) -> Option<Input> {
     let worker_name = item.key.strip_prefix(WORKERS_PREFIX)?;
     Some(match decode_worker(worker_name, &item.value) {
-        Ok(info) => Input::Worker(info),
+        Ok(info) => Input::WorkerRegistered(info),
         Err(error) => {
             let reason = error.reason();
             node.note_unused(StoredKind::Worker, item, &error.into());
-            Input::WorkerUnusable {
+            Input::WorkerEntryUnusable {
                 worker_name: worker_name.to_owned(),
                 reason,
             }
@@ -193,12 +193,12 @@
                         inputs.push(job_input(id, record, Some(progress)));
                     }
                     _ => {
-                        node.note_unread(id);
-                        inputs.push(Input::JobUnread(id));
+                        node.note_unreadable(id);
+                        inputs.push(Input::JobUnreadable(id));
                     }
                 }
             }
-            Some(JobKeyKind::Cancelled(id)) => inputs.push(Input::Cancelled(id)),
+            Some(JobKeyKind::Cancelled(id)) => inputs.push(Input::JobCancelled(id)),
             None => node.note_unused(StoredKind::Job, item, &Unused::because("bad_name")),
         }
     }
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -164,8 +164,8 @@
             Ok(record) => take_job(node, job, record),
             // Whoever follows the store tells of it.
             Err(_) => {
-                node.note_unread(job);
-                node.control.take(node.epoch(), Input::JobUnread(job));
+                node.note_unreadable(job);
+                node.control.take(node.epoch(), Input::JobUnreadable(job));
             }
         }
         return;
@@ -216,7 +216,7 @@
 /// Tells the owner of a stored cancellation.
 pub fn tell_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
     if node.owns() {
-        node.control.take(node.epoch(), Input::Cancelled(job));
+        node.control.take(node.epoch(), Input::JobCancelled(job));
     } else {
         tell_owner(node, PeerBody::Cancelled(job.0));
     }
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -33,7 +33,7 @@
         if node.epoch() != epoch {
             return;
         }
-        let jobs = node.unread_jobs(from, MOST_A_ROUND);
+        let jobs = node.unreadable_jobs(from, MOST_A_ROUND);
         from = match jobs.last() {
             Some(last) if jobs.len() == MOST_A_ROUND => JobId(last.0.saturating_add(1)),
             _ => JobId(0),
@@ -42,7 +42,7 @@
             // A store that does not answer is asked again in the next round.
             match read(&node, job).await {
                 Ok(Some(input)) if node.epoch() == epoch => {
-                    node.job_read(job);
+                    node.job_readable(job);
                     node.control.take(epoch, input);
                 }
                 _ => {}
@@ -55,7 +55,7 @@
 async fn read(node: &Node, job: JobId) -> Result<Option<Input>, StoreError> {
     let progress = node.store.get(&progress_key(job)).await?;
     let Some(item) = node.store.get(&job_key(job)).await? else {
-        return Ok(Some(Input::Cancelled(job)));
+        return Ok(Some(Input::JobCancelled(job)));
     };
     let record = node.used(StoredKind::Job, &item, decode_job_record(&item.value));
     let noted = match progress {
@@ -69,7 +69,7 @@
     let (Some(record), Some(progress)) = (record, noted) else {
         return Ok(None);
     };
-    Ok(Some(Input::JobRead {
+    Ok(Some(Input::JobReadable {
         id: job,
         record: Arc::new(record),
         progress,
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -6,7 +6,7 @@
     EndKind,
     EndedRow,
     GroupKey,
-    HoldReport,
+    PollReport,
     RunName,
     RunningRow,
     StartRefusal,
@@ -24,8 +24,8 @@
 /// silence is a lost answer, and an order is sent again within the time that
 /// the members of a gang wait for each other.
 const ORDER_LIMIT_MS: u64 = 450;
-/// What a look may take beyond its wait.
-const LOOK_SLACK_MS: u64 = 600;
+/// What a poll may take beyond its wait.
+const POLL_SLACK_MS: u64 = 600;
 /// Bound on a question to the policy outside.
 const ADVICE_LIMIT_MS: u64 = 3_000;
 const INCARNATION_HEADER: &str = "Expected-Instance";
@@ -51,7 +51,7 @@
 }
 
 #[derive(Serialize)]
-struct PaceBody {
+struct ThrottleBody {
     task: String,
     run_id: u64,
     percent: u32,
@@ -59,7 +59,7 @@
 }
 
 #[derive(Serialize)]
-struct HoldBody {
+struct PollBody {
     #[serde(skip_serializing_if = "Option::is_none")]
     deadline_ms: Option<u64>,
     fencing_token: u64,
@@ -88,7 +88,7 @@
 struct EndedBody(u64, String, u64, String, #[serde(default)] Option<String>);
 
 #[derive(Deserialize)]
-struct HoldAnswer {
+struct PollAnswerBody {
     clock_ms: u64,
     /// When the worker started, since the Unix epoch.
     #[serde(default)]
@@ -164,8 +164,8 @@
         self.order(address, worker_name, "run-stop", &body).await
     }
 
-    /// Lets a run work at a share.
-    pub async fn pace(
+    /// Limits a run to a share of its full speed.
+    pub async fn throttle(
         &self,
         address: &str,
         worker_name: &str,
@@ -173,7 +173,7 @@
         name: RunName,
         percent: u32,
     ) -> CallOutcome {
-        let body = PaceBody {
+        let body = ThrottleBody {
             task: name.task.to_string(),
             run_id: name.run,
             percent,
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Renews the lease of what runs on a worker and looks at it.
+    /// Polls a worker: renews its lease and asks what runs there.
     ///
     /// # Errors
     ///
     /// The worker refused or did not answer; never `Done`.
-    pub async fn hold(
+    pub async fn poll(
         &self,
         address: &str,
         worker_name: &str,
@@ -212,22 +212,22 @@
         last_seen: u64,
         lease_end_ms: Option<u64>,
         wait_ms: u64,
-    ) -> Result<HoldReport, CallOutcome> {
+    ) -> Result<PollReport, CallOutcome> {
         let url = format!("http://{address}/-/hold");
-        let body = HoldBody {
+        let body = PollBody {
             deadline_ms: lease_end_ms,
             fencing_token: epoch,
             last_seen,
             wait_ms,
         };
         let headers = [(INCARNATION_HEADER, worker_name)];
-        let limit_ms = wait_ms + LOOK_SLACK_MS;
+        let limit_ms = wait_ms + POLL_SLACK_MS;
         let answer = self.http.post(url, &headers, &body, limit_ms).await;
         let (status, body) = answer.map_err(|_| CallOutcome::NoAnswer)?;
         if status != StatusCode::OK {
             return Err(outcome_of(status, &body));
         }
-        decode_hold(&body).ok_or_else(|| {
+        decode_poll(&body).ok_or_else(|| {
             metrics::counter!("fuchsiaslip_worker_answers_unread_total").increment(1);
             CallOutcome::NoAnswer
         })
@@ -281,8 +281,8 @@
     }
 }
 
-fn decode_hold(body: &[u8]) -> Option<HoldReport> {
-    let answer: HoldAnswer = serde_json::from_slice(body)
+fn decode_poll(body: &[u8]) -> Option<PollReport> {
+    let answer: PollAnswerBody = serde_json::from_slice(body)
         .inspect_err(|error| log::debug!("a worker's answer does not read: {error}"))
         .ok()?;
     let name = |task: &str, run| {
@@ -305,7 +305,7 @@
             checkpoint: row.4.unwrap_or_default().into(),
         })
     });
-    Some(HoldReport {
+    Some(PollReport {
         clock_ms: answer.clock_ms,
         incarnation_start_ms: answer.born,
         running: running.collect::<Option<_>>()?,
--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -27,10 +27,9 @@
     WorkerKey, //
 };
 
-/// An end that was taken in and of which its worker was not told that it is
-/// noted.
+/// An end that a worker reported and that was not yet acknowledged to it.
 #[derive(Clone, Debug)]
-pub struct HeardEnd {
+pub struct UnacknowledgedEnd {
     /// As the worker lists it.
     pub row: EndedRow,
     /// What comes before its worker is told.
@@ -55,7 +54,7 @@
     /// before its worker may forget it.
     pub(super) fn note_end(&mut self, key: WorkerKey, row: &EndedRow) -> WaitsFor {
         let id = row.name.task.job;
-        if self.is_unread(id) && !self.jobs.contains_key(&id) {
+        if self.is_unreadable(id) && !self.jobs.contains_key(&id) {
             return WaitsFor::JobToRead;
         }
         self.keep_end_checkpoint(row);
@@ -63,7 +62,7 @@
         if !matches!(row.kind, EndKind::Done | EndKind::Failed) {
             return WaitsFor::Nothing;
         }
-        if self.leaving_jobs.contains_key(&id) {
+        if self.deleting_jobs.contains_key(&id) {
             // It was over, durably, before it was forgotten.
             return WaitsFor::Nothing;
         }
@@ -88,16 +87,16 @@
     /// Takes in the ends that were heard before their job was known, or could be
     /// read.
     pub(super) fn take_early_ends(&mut self, id: JobId) {
-        let waiting: Vec<WorkerKey> = self.with_unnoted.iter().copied().collect();
+        let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
         for key in waiting {
-            for at in 0..self.worker(key).unnoted.len() {
-                let end = &self.worker(key).unnoted[at];
+            for at in 0..self.worker(key).unacknowledged_ends.len() {
+                let end = &self.worker(key).unacknowledged_ends[at];
                 let own = end.row.name.task.job == id;
                 let early = matches!(end.waits_for, WaitsFor::JobsAt(_) | WaitsFor::JobToRead);
                 if own && early {
                     let row = end.row.clone();
                     let waits_for = self.note_end(key, &row);
-                    self.worker_mut(key).unnoted[at].waits_for = waits_for;
+                    self.worker_mut(key).unacknowledged_ends[at].waits_for = waits_for;
                 }
             }
         }
@@ -105,13 +104,13 @@
 
     /// More is durable, or known: tells the workers that listed ends of it.
     pub(super) fn acknowledge_ends(&mut self) {
-        let waiting: Vec<WorkerKey> = self.with_unnoted.iter().copied().collect();
+        let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
         for key in waiting {
             if self.advance_last_seen(key) {
                 let now_ms = self.now_ms;
                 let worker = self.worker_mut(key);
-                worker.look_at_ms = worker.look_at_ms.min(now_ms);
-                self.look_if_due(key);
+                worker.poll_at_ms = worker.poll_at_ms.min(now_ms);
+                self.poll_if_due(key);
             }
         }
     }
@@ -119,12 +118,12 @@
     /// Moves `last_seen` of a worker past the ends that it may forget; whether
     /// it may forget all of them.
     pub(super) fn advance_last_seen(&mut self, key: WorkerKey) -> bool {
-        while let Some(end) = self.worker(key).unnoted.front() {
+        while let Some(end) = self.worker(key).unacknowledged_ends.front() {
             if !self.may_be_forgotten(end) {
                 return false;
             }
             let worker = self.worker_mut(key);
-            let Some(end) = worker.unnoted.pop_front() else {
+            let Some(end) = worker.unacknowledged_ends.pop_front() else {
                 break;
             };
             worker.last_seen = end.row.number;
@@ -132,11 +131,11 @@
                 self.end_released(key, end.row.name, "job_not_stored");
             }
         }
-        self.with_unnoted.remove(&key);
+        self.with_unacknowledged_ends.remove(&key);
         true
     }
 
-    fn may_be_forgotten(&self, end: &HeardEnd) -> bool {
+    fn may_be_forgotten(&self, end: &UnacknowledgedEnd) -> bool {
         match end.waits_for {
             WaitsFor::Nothing => true,
             // A job leaves the memory only after its last change is durable.
@@ -145,9 +144,9 @@
                 job.is_none_or(|job| job.stored >= change)
             }
             WaitsFor::JobsAt(heard_ms) => {
-                self.jobs_read_ms > heard_ms && !self.is_unread(end.row.name.task.job)
+                self.jobs_read_ms > heard_ms && !self.is_unreadable(end.row.name.task.job)
             }
-            WaitsFor::JobToRead => !self.is_unread(end.row.name.task.job),
+            WaitsFor::JobToRead => !self.is_unreadable(end.row.name.task.job),
         }
     }
 
@@ -157,10 +156,12 @@
         self.acknowledge_ends();
     }
 
-    /// Ends that were taken in and of which no worker was told yet.
-    pub fn unnoted_ends(&self) -> usize {
-        let waiting = self.with_unnoted.iter();
-        waiting.map(|&key| self.worker(key).unnoted.len()).sum()
+    /// How many reported ends are not yet acknowledged to their workers.
+    pub fn unacknowledged_end_count(&self) -> usize {
+        let waiting = self.with_unacknowledged_ends.iter();
+        waiting
+            .map(|&key| self.worker(key).unacknowledged_ends.len())
+            .sum()
     }
 
     /// Logs an end of which nothing is stored.
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -26,8 +26,8 @@
 /// Something to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Renew the lease of what runs on a worker and look at it.
-    Hold {
+    /// Poll a worker: renew its lease and ask what runs there.
+    Poll {
         /// Whom to call.
         callee: Callee,
         /// Ends up to here are durable.
@@ -59,8 +59,8 @@
         /// The run.
         name: RunName,
     },
-    /// Let a run work at a share.
-    Pace {
+    /// Limit a run to a share of its full speed.
+    Throttle {
         /// Whom to call.
         callee: Callee,
         /// The run.
@@ -75,16 +75,16 @@
         /// The workers, with their names.
         workers: Vec<(WorkerKey, Arc<str>)>,
     },
-    /// Store the progress of a job; several may be asked for before the first
-    /// is carried out, and the last one holds.
-    Store {
+    /// Store the progress of a job. Several requests may precede the first write; the
+    /// last one is the one that counts.
+    StoreProgress {
         /// The job.
         job: JobId,
     },
     /// Store the roster of workers before any of the new ones is used.
     StoreRoster,
-    /// Store whether a worker gets no more starts, and what may run there.
-    StoreClosed {
+    /// Store whether a worker is closed to new starts, and which runs it may have.
+    StoreClosedWorker {
         /// The worker.
         worker: WorkerKey,
     },
@@ -97,8 +97,8 @@
         /// The machine.
         machine: String,
     },
-    /// Store how far a wave is.
-    StoreWave {
+    /// Store whether an upkeep wave is completed.
+    StoreWaveState {
         /// The wave.
         wave: u64,
         /// All its machines that stay had their upkeep.
@@ -106,19 +106,19 @@
     },
     /// Store since when a data centre gets no new tasks, for people to read; or
     /// that it gets them again.
-    StoreEmptied {
+    StoreEmptiedDataCentre {
         /// The data centre.
         data_centre: Arc<str>,
         /// The store's revision of the order; `None` when it was taken back.
         revision: Option<u64>,
     },
-    /// Forget what is stored of a job.
-    Forget {
+    /// Delete everything that is stored of a job.
+    DeleteJob {
         /// The job.
         job: JobId,
     },
-    /// A worker has seen a higher epoch: somebody else owns the fleet.
-    Deposed,
+    /// This owner is fenced: a worker has seen a higher epoch.
+    OwnershipLost,
     /// A decision, for the log and the counters.
     Decided(Decision),
 }
--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -13,8 +13,8 @@
 use super::action::Action;
 use super::state::Scheduler;
 use super::worker::{
+    CloseState, //
     Contact,
-    Intake, //
 };
 use super::{
     ClosedRuns,
@@ -28,10 +28,10 @@
 
 /// Looks in a row without an answer after which a worker is closed: one lost
 /// answer is common, and closing costs a commit.
-const CLOSE_AFTER_LOOKS: u32 = 2;
+const CLOSE_AFTER_POLLS: u32 = 2;
 /// The same where a suspect was just started: an owner that is followed before it is
 /// stored leaves the next one without that crash.
-const CLOSE_AFTER_TRIAL_LOOKS: u32 = 1;
+const CLOSE_AFTER_TRIAL_POLLS: u32 = 1;
 /// The store answered this lately: twice the time between confirmations.
 const STORE_ANSWERS_MS: u64 = 1_200;
 
@@ -42,22 +42,24 @@
         let worker = self.worker_mut(key);
         let mut runs = worker.runs.values();
         let looks = match runs.any(|run| run.on_trial && run.is_unproven()) {
-            true => CLOSE_AFTER_TRIAL_LOOKS,
-            false => CLOSE_AFTER_LOOKS,
+            true => CLOSE_AFTER_TRIAL_POLLS,
+            false => CLOSE_AFTER_POLLS,
         };
         let silent =
-            worker.contact == Contact::Silent && (worker.failed_looks >= looks || !worker.listed);
+            worker.contact == Contact::Silent && (worker.failed_polls >= looks || !worker.listed);
         let leaving = worker.info.draining && worker.contact == Contact::Answering;
-        let next = match worker.intake {
-            Intake::Open if silent || leaving => Intake::Closing,
-            Intake::Closed if worker.contact == Contact::Answering && worker.listed && !leaving => {
-                Intake::Opening
+        let next = match worker.close_state {
+            CloseState::Open if silent || leaving => CloseState::Closing,
+            CloseState::Closed
+                if worker.contact == Contact::Answering && worker.listed && !leaving =>
+            {
+                CloseState::Opening
             }
             _ => return,
         };
         if store_answers {
-            worker.intake = next;
-            self.actions.push(Action::StoreClosed { worker: key });
+            worker.close_state = next;
+            self.actions.push(Action::StoreClosedWorker { worker: key });
         }
     }
 
@@ -68,12 +70,12 @@
         if worker.contact == Contact::Gone {
             return None;
         }
-        let closed = matches!(worker.intake, Intake::Closing | Intake::Closed);
+        let closed = matches!(worker.close_state, CloseState::Closing | CloseState::Closed);
         if !closed {
             return Some((false, ClosedRuns::default()));
         }
         // An end that is not durable is known only here and on the worker.
-        let ended = worker.unnoted.iter().map(|end| end.row.name);
+        let ended = worker.unacknowledged_ends.iter().map(|end| end.row.name);
         let runs = worker.runs.keys().copied().chain(ended).collect();
         let lost = worker.lost.iter().copied();
         let confirmed = worker.confirmed_runs().chain(lost).collect();
@@ -91,9 +93,9 @@
             return;
         };
         let worker = self.worker_mut(key);
-        worker.intake = match (worker.intake, closed) {
-            (Intake::Closing, true) => Intake::Closed,
-            (Intake::Opening, false) => Intake::Open,
+        worker.close_state = match (worker.close_state, closed) {
+            (CloseState::Closing, true) => CloseState::Closed,
+            (CloseState::Opening, false) => CloseState::Open,
             (other, _) => other,
         };
         self.changed = true;
@@ -104,7 +106,7 @@
     pub(super) fn take_closed(&mut self, key: WorkerKey, closed: ClosedRuns) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
-        worker.intake = Intake::Closed;
+        worker.close_state = CloseState::Closed;
         worker.incarnation_start_ms = worker.incarnation_start_ms.or(closed.incarnation_start_ms);
         for &name in &closed.runs {
             let mut confirmed = closed.confirmed.iter();
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -65,10 +65,10 @@
             percent: 0,
             advanced_ms: now_ms,
             progress: Progress::default(),
-            paced_ms: 0,
+            throttled_ms: 0,
             usage: None,
-            pace_percent: 100,
-            pace_in_flight: false,
+            throttle_percent: 100,
+            throttle_in_flight: false,
             fills: step.fills,
             serves: step.serves(),
             long_running: step.long_running,
@@ -150,7 +150,12 @@
         self.configuration.unguarded_services.contains(service)
     }
 
-    pub(super) fn start_over(&mut self, key: WorkerKey, name: RunName, outcome: CallOutcome) {
+    pub(super) fn handle_start_result(
+        &mut self,
+        key: WorkerKey,
+        name: RunName,
+        outcome: CallOutcome,
+    ) {
         let judged = self.judged(key, outcome);
         /// Wait before a start without an answer is sent again.
         const RESEND_MS: u64 = 30;
@@ -177,7 +182,7 @@
                 }
             }
             CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
-            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::Deposed),
+            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             CallOutcome::Refused(refusal) => self.start_refused(key, name, refusal),
         }
     }
@@ -269,7 +274,12 @@
         }
     }
 
-    pub(super) fn stop_over(&mut self, key: WorkerKey, name: RunName, outcome: CallOutcome) {
+    pub(super) fn handle_stop_result(
+        &mut self,
+        key: WorkerKey,
+        name: RunName,
+        outcome: CallOutcome,
+    ) {
         let judged = self.judged(key, outcome);
         /// Wait before a stop without an answer is sent again.
         const RESEND_MS: u64 = 200;
@@ -282,10 +292,10 @@
         match judged {
             CallOutcome::Done => {
                 run.conclusive_ms = Some(now_ms + stop_ms + CONCLUSIVE_MS);
-                worker.look_at_ms = worker.look_at_ms.min(now_ms + stop_ms);
+                worker.poll_at_ms = worker.poll_at_ms.min(now_ms + stop_ms);
             }
             CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
-            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::Deposed),
+            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.resend_ms = now_ms + RESEND_MS,
         }
     }
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -12,7 +12,7 @@
     Action,
     Decision, //
 };
-use super::freshness::View;
+use super::freshness::Freshness;
 use super::state::Scheduler;
 use super::worker::Contact;
 use super::{
@@ -45,7 +45,7 @@
 pub(super) struct Emptying {
     in_force: BTreeMap<String, InForce>,
     /// All orders that were acknowledged until then are known.
-    view: View,
+    view: Freshness,
     /// Data centres that were given back and got no start since, with when.
     unused: BTreeMap<String, u64>,
 }
@@ -153,7 +153,7 @@
 
     fn store_emptied(&mut self, data_centre: &str) {
         let order = self.emptying.in_force.get(data_centre);
-        self.actions.push(Action::StoreEmptied {
+        self.actions.push(Action::StoreEmptiedDataCentre {
             data_centre: data_centre.into(),
             revision: order.map(|order| order.revision),
         });
--- a/src/scheduler/freshness.rs
+++ b/src/scheduler/freshness.rs
@@ -1,14 +1,14 @@
 //! How old what a decision rests on may be.
 
-/// When something was last known to be as the scheduler has it.
+/// When the scheduler's copy of some state was last known to be current.
 #[derive(Clone, Debug, Default)]
-pub(super) struct View {
+pub(super) struct Freshness {
     known_ms: u64,
     /// That this is too long ago was told.
     told: bool,
 }
 
-impl View {
+impl Freshness {
     /// Known as it was at this time.
     pub(super) fn of(known_ms: u64) -> Self {
         Self {
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -1,12 +1,12 @@
 //! The tasks of one step of one occurrence.
 
 use super::{
-    Belief,
     CrashedRun,
+    JobObjective, //
+    LogEstimate,
     Resources,
     StepSpec,
     TaskId,
-    Terms, //
 };
 use crate::core::{
     JobId,
@@ -158,7 +158,7 @@
     /// The length of the objective.
     pub objective_length_ms: u64,
     /// The logarithm of a task's run time on a usual worker, in milliseconds.
-    pub run_time: Belief,
+    pub run_time: LogEstimate,
     /// It was taken in for later estimates of its queue.
     pub run_time_noted: bool,
     /// The run of the gang that is on workers.
@@ -214,9 +214,9 @@
 
     /// When its job earns what; run times are off by a fifth even when estimates
     /// fit.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> JobObjective {
         const SPREAD: f64 = 0.2;
-        Terms {
+        JobObjective {
             objective_ms: self.objective_ms,
             objective_length_ms: self.objective_length_ms,
             spread_ms: SPREAD * self.run_time.value(),
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -7,7 +7,7 @@
 //! Limits: patient work may always use the larger part of the fleet, and work that
 //! has to run all the time is not held back.
 
-use super::ordering::OrderRule;
+use super::ordering::OrderingPolicy;
 use super::state::Scheduler;
 use super::{
     GroupKey,
@@ -108,7 +108,7 @@
     /// Whether a group leaves headroom.
     pub(super) fn is_patient(&self, key: GroupKey) -> bool {
         let group = &self.groups[&key];
-        self.tuning.order == OrderRule::Worth
+        self.tuning.order == OrderingPolicy::Worth
             && self.jobs[&key.job].priority > 0
             && !group.step.long_running
     }
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -100,9 +100,9 @@
     pub checkpoint: Arc<str>,
 }
 
-/// A worker's answer to a look.
+/// A worker's answer to a poll.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HoldReport {
+pub struct PollReport {
     /// The worker's clock when it answered.
     pub clock_ms: u64,
     /// When the incarnation that answered started, since the Unix epoch; `None` where
@@ -166,8 +166,8 @@
 pub enum Input {
     /// A version of the configuration.
     Configure(Arc<ClusterConfiguration>),
-    /// The operators' orders to empty data centres, all that are in force.
-    Emptying {
+    /// All orders to empty data centres that are in force were read.
+    EmptyingOrdersRead {
         /// The orders.
         orders: Vec<EmptyingOrder>,
         /// They are known as they were at this time, or later.
@@ -183,16 +183,17 @@
         progress: Option<ProgressRecord>,
     },
     /// The job's cancellation is stored.
-    Cancelled(JobId),
+    JobCancelled(JobId),
     /// All jobs that were stored before `sent_ms` are told.
     JobsRead {
         /// When the store was asked.
         sent_ms: u64,
     },
     /// A worker is registered, or its entry changed.
-    Worker(WorkerInfo),
-    /// A worker that earlier owners used; it may still run their orders.
-    KnownWorker {
+    WorkerRegistered(WorkerInfo),
+    /// A worker on the stored roster: earlier owners used it, and it may still run
+    /// what they started.
+    RosterWorker {
         /// The worker's name.
         worker_name: String,
         /// Where it was called.
@@ -208,17 +209,17 @@
         /// When the store was asked.
         sent_ms: u64,
     },
-    /// The worker's entry is there, and names no worker to use.
-    WorkerUnusable {
+    /// The worker's registration entry exists but cannot be used.
+    WorkerEntryUnusable {
         /// The name in the entry's key.
         worker_name: String,
         /// Why, as logs and counters name it.
         reason: &'static str,
     },
-    /// A stored value of a job does not read: what is done of it is not known.
-    JobUnread(JobId),
-    /// The values of a job that did not read do so now.
-    JobRead {
+    /// A stored value of a job cannot be decoded: its progress is unknown.
+    JobUnreadable(JobId),
+    /// The values of a job that could not be decoded now can be.
+    JobReadable {
         /// Its name.
         id: JobId,
         /// What was stored.
@@ -226,8 +227,8 @@
         /// What an earlier owner noted of it.
         progress: Option<ProgressRecord>,
     },
-    /// The stored roster does not read: earlier owners may have used any worker.
-    RosterUnread,
+    /// The stored roster cannot be decoded: earlier owners may have used any worker.
+    RosterUnreadable,
     /// Beside a roster that does not read, the store says that a worker got no
     /// more starts; where it is called is told by its entry, if it has one.
     ClosedWorker {
@@ -236,31 +237,31 @@
         /// Runs that may be there.
         runs: ClosedRuns,
     },
-    /// All that was stored before this owner began is told.
-    Recovered {
+    /// Everything that was stored before this owner began has been passed in.
+    StoredStateRead {
         /// The process of the earlier owner has certainly ended.
         earlier_owner_over: bool,
     },
     /// The roster with these names is durable.
     RosterStored(Vec<String>),
-    /// A worker answered a look that was sent at `sent_ms`.
-    Held {
+    /// A worker answered a poll that was sent at `sent_ms`.
+    PollAnswered {
         /// The worker.
         worker: WorkerKey,
-        /// When the look was sent.
+        /// When the poll was sent.
         sent_ms: u64,
         /// The answer.
-        report: HoldReport,
+        report: PollReport,
     },
-    /// A look failed.
-    HoldFailed {
+    /// A poll failed.
+    PollFailed {
         /// The worker.
         worker: WorkerKey,
         /// Why: never `Done`.
         outcome: CallOutcome,
     },
-    /// A start was answered, or not.
-    StartOver {
+    /// The outcome of a start order.
+    StartResult {
         /// The worker.
         worker: WorkerKey,
         /// The run.
@@ -268,8 +269,8 @@
         /// What became of it.
         outcome: CallOutcome,
     },
-    /// A stop was answered, or not.
-    StopOver {
+    /// The outcome of a stop order.
+    StopResult {
         /// The worker.
         worker: WorkerKey,
         /// The run.
@@ -277,8 +278,8 @@
         /// What became of it.
         outcome: CallOutcome,
     },
-    /// A change of pace was answered, or not.
-    PaceOver {
+    /// The outcome of a throttle order.
+    ThrottleResult {
         /// The worker.
         worker: WorkerKey,
         /// The run.
@@ -287,7 +288,7 @@
         outcome: CallOutcome,
     },
     /// A policy outside named the workers that may run a step.
-    Advised {
+    AdviceResult {
         /// The step: the index of the task means nothing.
         step: super::GroupKey,
         /// The workers asked about.
@@ -295,31 +296,31 @@
         /// Approved workers with their tickets; `None` when nobody answered.
         approved: Option<Vec<(String, Arc<str>)>>,
     },
-    /// It is durable whether a worker gets no more starts.
-    ClosedStored {
+    /// The store has recorded whether a worker is closed to new starts.
+    ClosedWorkerStored {
         /// The worker's name.
         worker_name: String,
         /// Whether it is closed.
         closed: bool,
     },
     /// The progress of a job up to this change is durable.
-    Stored {
+    ProgressStored {
         /// The job.
         job: JobId,
         /// Number of the change.
         change: u64,
     },
-    /// Machines are to have their upkeep.
-    Wave(WaveOrder),
+    /// An upkeep wave was ordered.
+    UpkeepWave(WaveOrder),
     /// The platform's list of machines, or that it did not come.
-    Machines {
+    MachineList {
         /// When it was asked for.
         sent_ms: u64,
         /// The machines.
         machines: Option<Vec<MachineInfo>>,
     },
-    /// An order for an upkeep was answered, or not.
-    UpkeepOver {
+    /// The outcome of an upkeep order.
+    UpkeepResult {
         /// The wave.
         wave: u64,
         /// The machine.
@@ -327,10 +328,10 @@
         /// What became of it.
         outcome: UpkeepOutcome,
     },
-    /// Nothing is stored of the job any more.
-    Forgotten(JobId),
-    /// The epoch was last known to be ours at this time.
-    Confirmed(u64),
+    /// Everything that was stored of the job is deleted.
+    JobDeleted(JobId),
+    /// The store confirmed this owner's epoch at this time.
+    EpochConfirmed(u64),
     /// Time has passed.
     Tick,
 }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -125,7 +125,7 @@
     ) {
         // A job that is being forgotten is read again as long as it is stored,
         // without what was noted of it; taken for a new one it would run again.
-        if self.jobs.contains_key(&id) || self.leaving_jobs.contains_key(&id) {
+        if self.jobs.contains_key(&id) || self.deleting_jobs.contains_key(&id) {
             return;
         }
         let terms = self.terms_of(&record);
@@ -143,7 +143,7 @@
             priority: priority_under(terms.as_ref()),
             terms,
             known_ms: self.now_ms,
-            known_earlier: self.is_blind() || self.is_unread(id),
+            known_earlier: self.is_blind() || self.is_unreadable(id),
             cancelled: false,
             ended: progress.ended,
             ended_ms: self.now_ms,
@@ -253,7 +253,7 @@
         let job = self.job_mut(id);
         job.change += 1;
         let change = job.change;
-        self.actions.push(Action::Store { job: id });
+        self.actions.push(Action::StoreProgress { job: id });
         change
     }
 
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -11,8 +11,8 @@
 use super::crashes::Loss;
 use super::state::Scheduler;
 use super::worker::{
+    CloseState, //
     Contact,
-    Intake, //
 };
 use super::{
     ClosedRuns,
@@ -53,7 +53,7 @@
             self.vacant.retain(|&(_, vacant)| vacant != key);
         }
         let unknown = !self.worker(key).on_roster;
-        if unknown && self.roster_unread {
+        if unknown && self.roster_unreadable {
             self.join_unread_roster(key);
         } else if unknown && !self.roster_asked {
             self.roster_asked = true;
@@ -85,7 +85,7 @@
             .into_iter()
             .flatten()
             .copied()
-            .filter(|&other| other != key && self.worker(other).dispute.is_none())
+            .filter(|&other| other != key && self.worker(other).address_conflict.is_none())
             .collect();
         let next_start_ms = self.worker(key).incarnation_start_ms;
         for other in others {
@@ -165,7 +165,7 @@
             };
             let worker = self.worker_mut(key);
             worker.on_roster = worker.contact != Contact::Gone;
-            self.look_if_due(key);
+            self.poll_if_due(key);
         }
         self.roster_asked = self
             .workers
@@ -212,9 +212,9 @@
     fn lose_runs(&mut self, key: WorkerKey, loss: Loss, exit_ms: u64) {
         let names: Vec<RunName> = self.worker(key).runs.keys().copied().collect();
         let confirmed = self.confirmed_runs_with_expected_end(key);
-        if self.worker(key).intake != Intake::Open {
+        if self.worker(key).close_state != CloseState::Open {
             // The store named these runs.
-            self.actions.push(Action::StoreClosed { worker: key });
+            self.actions.push(Action::StoreClosedWorker { worker: key });
         }
         let worker = self.worker(key).name();
         self.decided(Decision::WorkerLost {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -45,7 +45,7 @@
 mod worker_speed;
 
 pub use acknowledgement::{
-    HeardEnd,
+    UnacknowledgedEnd,
     WaitsFor, //
 };
 pub use action::{
@@ -84,8 +84,8 @@
     CallOutcome,
     EndKind,
     EndedRow,
-    HoldReport,
     Input,
+    PollReport,
     RunningRow,
     StartRefusal,
     WorkerInfo, //
@@ -99,10 +99,10 @@
     ProgressRecord, //
 };
 pub use ordering::{
-    OrderRule,
-    Terms, //
+    JobObjective, //
+    OrderingPolicy,
 };
-pub use run_time_model::RunTimes;
+pub use run_time_model::RunTimeModel;
 pub use spec::{
     JobRecord,
     JobSpec,
@@ -122,14 +122,14 @@
     WaveOrder, //
 };
 pub use worker::{
-    Intake,
+    CloseState,
     Run,
     RunPhase,
     Worker, //
 };
-pub use worker_entries::AddressDispute;
+pub use worker_entries::AddressConflict;
 pub use worker_restart::LateStart;
 pub use worker_speed::{
-    Belief,
+    LogEstimate,
     Progress, //
 };
--- a/src/scheduler/occurrence.rs
+++ b/src/scheduler/occurrence.rs
@@ -5,9 +5,9 @@
 use super::job::GraphJob;
 use super::state::Scheduler;
 use super::{
-    Belief,
     Group,
     GroupKey,
+    LogEstimate,
     RunName,
     RunPhase,
     StepSpec,
@@ -32,7 +32,7 @@
     due_ms: u64,
     objective_length_ms: u64,
     /// How long a task of each step takes.
-    run_times: Vec<Belief>,
+    run_times: Vec<LogEstimate>,
     /// Its tasks may run where this owner cannot look yet.
     blind: bool,
 }
@@ -144,7 +144,7 @@
 
     fn opening(&self, job: &GraphJob, occurrence: u32, due_ms: u64) -> Opening {
         let steps = job.steps.iter();
-        let run_times: Vec<Belief> = steps
+        let run_times: Vec<LogEstimate> = steps
             .map(|step| self.run_time_of(&job.record.queue, step.estimated_ms))
             .collect();
         Opening {
@@ -209,7 +209,7 @@
 
     /// The time that a job has until it is late; the chain of its work alone
     /// while the terms of its queue are not known.
-    fn objective_length_ms(&self, job: &GraphJob, run_times: &[Belief]) -> u64 {
+    fn objective_length_ms(&self, job: &GraphJob, run_times: &[LogEstimate]) -> u64 {
         let chain_ms = self.chain_ms(&job.steps, run_times);
         let (stretch, extra_ms) = job.terms().map_or((1.0, 0), |terms| {
             (terms.stretch_factor.max(1.0), terms.target_latency_ms)
@@ -225,7 +225,8 @@
         };
         let keys = job.group_keys(occurrence);
         let groups = keys.clone().map(|key| self.groups.get(&key));
-        let run_times: Option<Vec<Belief>> = groups.map(|group| Some(group?.run_time)).collect();
+        let run_times: Option<Vec<LogEstimate>> =
+            groups.map(|group| Some(group?.run_time)).collect();
         let Some(run_times) = run_times else {
             return;
         };
@@ -240,7 +241,7 @@
     }
 
     /// The longest chain of work, wide steps in waves.
-    fn chain_ms(&self, steps: &[Arc<StepSpec>], run_times: &[Belief]) -> f64 {
+    fn chain_ms(&self, steps: &[Arc<StepSpec>], run_times: &[LogEstimate]) -> f64 {
         let room = self.room_for_terms();
         let mut ends: Vec<f64> = Vec::with_capacity(steps.len());
         for (step, run_time) in steps.iter().zip(run_times) {
@@ -309,7 +310,7 @@
     opening: &Opening,
     key: GroupKey,
     step: &Arc<StepSpec>,
-    run_time: Belief,
+    run_time: LogEstimate,
 ) -> Group {
     let released_ms = match step.after.is_empty() {
         true => opening.due_ms,
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -30,9 +30,9 @@
 /// Late work earns up to this many times the objective.
 const LATE_FACTOR: u64 = 3;
 
-/// What orders waiting work within a tier.
+/// The policy that orders waiting work within a tier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderRule {
+pub enum OrderingPolicy {
     /// What it earns for each unit of work; urgent work may take room back.
     Worth,
     /// When it became ready; nothing is taken back or left free. A baseline for
@@ -54,9 +54,9 @@
     Earning,
 }
 
-/// When a job earns what.
+/// The deadline of a job and how much it is worth before and after.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct JobObjective {
     /// From then on it is late.
     pub objective_ms: u64,
     /// Length of its objective.
@@ -65,7 +65,7 @@
     pub spread_ms: f64,
 }
 
-impl Terms {
+impl JobObjective {
     /// The part of its worth that a job earns if it is expected to end then: the
     /// chance of being on time, and a part for being late.
     pub fn part_at(&self, end_ms: u64) -> f64 {
@@ -187,7 +187,7 @@
 
     fn rank(&self, group: &Group) -> Ranked {
         let job = &self.jobs[&group.key.job];
-        let baseline = self.tuning.order != OrderRule::Worth;
+        let baseline = self.tuning.order != OrderingPolicy::Worth;
         let tier = if group.step.long_running {
             Tier::Lasting
         } else if baseline {
@@ -213,9 +213,9 @@
             objective_length_ms: group.objective_length_ms,
         };
         let density = match self.tuning.order {
-            OrderRule::Worth => prospect.density(self.now_ms),
-            OrderRule::FirstCome => -(group.released_ms as f64),
-            OrderRule::Shortest => -(group.run_ms() as f64),
+            OrderingPolicy::Worth => prospect.density(self.now_ms),
+            OrderingPolicy::FirstCome => -(group.released_ms as f64),
+            OrderingPolicy::Shortest => -(group.run_ms() as f64),
         };
         Ranked {
             key: group.key,
--- a/src/scheduler/poll_report.rs
+++ b/src/scheduler/poll_report.rs
@@ -1,4 +1,4 @@
-//! Taking in what a worker says of itself.
+//! Handling the results of polls.
 
 use super::action::StopReason;
 use super::crashes::Loss;
@@ -11,7 +11,7 @@
     Action,
     CallOutcome,
     GroupKey,
-    HoldReport,
+    PollReport,
     Run,
     RunName,
     RunPhase,
@@ -24,19 +24,19 @@
 
 /// Wait before a look that brought an undurable end is repeated, if its end
 /// does not become durable before.
-const UNDURABLE_LOOK_MS: u64 = 300;
+const UNDURABLE_POLL_MS: u64 = 300;
 /// First wait after a look without an answer; it doubles.
-const FAILED_LOOK_MS: u64 = 100;
+const FAILED_POLL_MS: u64 = 100;
 /// Longest such wait: a worker that returns is found this soon.
-const MAX_FAILED_LOOK_MS: u64 = 400;
+const MAX_FAILED_POLL_MS: u64 = 400;
 /// Most ends that a worker lists at a time, as the platform says.
 const MAX_LISTED_ENDS: usize = 500;
 
 impl Scheduler {
-    /// Takes in the answer to a look.
-    pub(super) fn held(&mut self, key: WorkerKey, sent_ms: u64, report: HoldReport) {
+    /// Handles a worker's answer to a poll.
+    pub(super) fn handle_poll_report(&mut self, key: WorkerKey, sent_ms: u64, report: PollReport) {
         let now_ms = self.now_ms;
-        self.look_over(key);
+        self.poll_ended(key);
         let worker = self.worker_mut(key);
         if worker.contact == Contact::Gone {
             return;
@@ -44,7 +44,7 @@
         let key = self.answering(key, sent_ms, &report);
         let worker = self.worker_mut(key);
         let is_back = worker.contact != Contact::Answering;
-        if is_back || worker.failed_looks > 0 {
+        if is_back || worker.failed_polls > 0 {
             self.changed = true;
         }
         if is_back {
@@ -53,7 +53,7 @@
         let worker = self.worker_mut(key);
         worker.contact = Contact::Answering;
         worker.lost.clear();
-        worker.failed_looks = 0;
+        worker.failed_polls = 0;
         worker.heard_ms = now_ms;
         worker.clock = Some((report.clock_ms, now_ms));
         worker.clock_doubted = false;
@@ -83,26 +83,26 @@
         self.review_blindness();
         // Looking again at once would bring the same ends until they are durable.
         let all_durable = self.advance_last_seen(key);
-        self.worker_mut(key).look_at_ms = match all_durable {
+        self.worker_mut(key).poll_at_ms = match all_durable {
             true => now_ms,
-            false => now_ms + UNDURABLE_LOOK_MS,
+            false => now_ms + UNDURABLE_POLL_MS,
         };
-        self.look_if_due(key);
+        self.poll_if_due(key);
     }
 
-    /// Takes in that a look failed.
-    pub(super) fn hold_failed(&mut self, key: WorkerKey, outcome: CallOutcome) {
+    /// Handles the failure of a poll.
+    pub(super) fn handle_poll_failure(&mut self, key: WorkerKey, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let judged = self.judged(key, outcome);
-        self.look_over(key);
+        self.poll_ended(key);
         self.try_other_address(key);
         let worker = self.worker_mut(key);
-        worker.failed_looks += 1;
-        let wait_ms = FAILED_LOOK_MS << (worker.failed_looks - 1).min(2);
-        worker.look_at_ms = now_ms + wait_ms.min(MAX_FAILED_LOOK_MS);
+        worker.failed_polls += 1;
+        let wait_ms = FAILED_POLL_MS << (worker.failed_polls - 1).min(2);
+        worker.poll_at_ms = now_ms + wait_ms.min(MAX_FAILED_POLL_MS);
         match judged {
             CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
-            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::Deposed),
+            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             _ if worker.contact == Contact::Answering => {
                 worker.contact = Contact::Silent;
                 self.changed = true;
@@ -177,7 +177,7 @@
             run.room = group.room;
             run.room_unknown = false;
             run.fills = group.step.fills;
-            run.pace_percent = if run.fills { u32::MAX } else { 100 };
+            run.throttle_percent = if run.fills { u32::MAX } else { 100 };
             run.serves = group.step.serves();
             run.long_running = group.step.long_running;
             let gang_fits = !group.step.gang
@@ -209,7 +209,7 @@
         run.usage = row.usage;
         self.worker_mut(key).add_run(row.name, run);
         // A job that does not read keeps what it has.
-        if !fits && !self.is_unread(row.name.task.job) {
+        if !fits && !self.is_unreadable(row.name.task.job) {
             self.stop_run(key, row.name, StopReason::Stray);
         }
     }
@@ -232,19 +232,24 @@
         }
     }
 
-    /// A change of pace was answered, or not.
-    pub(super) fn pace_over(&mut self, key: WorkerKey, name: RunName, outcome: CallOutcome) {
+    /// Handles the outcome of a throttle order.
+    pub(super) fn handle_throttle_result(
+        &mut self,
+        key: WorkerKey,
+        name: RunName,
+        outcome: CallOutcome,
+    ) {
         let judged = self.judged(key, outcome);
         let Some(run) = self.worker_mut(key).runs.get_mut(&name) else {
             return;
         };
-        run.pace_in_flight = false;
+        run.throttle_in_flight = false;
         match judged {
             CallOutcome::Done => {}
             CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
-            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::Deposed),
+            CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             // Unknown: the next review sends the pace again.
-            CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.pace_percent = u32::MAX,
+            CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.throttle_percent = u32::MAX,
         }
     }
 }
--- a/src/scheduler/polling.rs
+++ b/src/scheduler/polling.rs
@@ -1,4 +1,4 @@
-//! Looking at workers: renewing their leases and asking what runs there.
+//! Polling workers: renewing their leases and asking what runs there.
 
 use super::action::Action;
 use super::state::Scheduler;
@@ -7,35 +7,35 @@
 
 /// Looks on their way to workers that have not answered yet. A new owner asks
 /// thousands; all at once they hold up its heartbeats for a second.
-const MAX_FIRST_LOOKS: usize = 128;
+const MAX_FIRST_POLLS: usize = 128;
 
 /// No worker crashes and is back within this time.
 const LEAST_RESTART_MS: u64 = 250;
 
 impl Scheduler {
-    pub(super) fn look_if_due(&mut self, key: WorkerKey) {
+    pub(super) fn poll_if_due(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let authority = self.has_authority();
-        let (lease_ms, wait_ms) = (self.tuning.lease_ms, self.tuning.look_wait_ms);
-        let crowded = self.first_looks >= MAX_FIRST_LOOKS;
+        let (lease_ms, wait_ms) = (self.tuning.lease_ms, self.tuning.poll_wait_ms);
+        let crowded = self.first_polls >= MAX_FIRST_POLLS;
         let worker = self.worker_mut(key);
-        if worker.look_in_flight || now_ms < worker.look_at_ms || !worker.on_roster {
+        if worker.poll_in_flight || now_ms < worker.poll_at_ms || !worker.on_roster {
             return;
         }
         let first = worker.contact == Contact::Unfenced;
         if first && crowded {
             return;
         }
-        worker.look_in_flight = true;
-        worker.first_look = first;
+        worker.poll_in_flight = true;
+        worker.first_poll = first;
         // A worker that does not answer is asked for a quick sign of life, and
         // ends that are not durable yet would answer a waiting look at once.
-        let quick = worker.contact != Contact::Answering || !worker.unnoted.is_empty();
+        let quick = worker.contact != Contact::Answering || !worker.unacknowledged_ends.is_empty();
         let shares =
             worker.runs.values().any(|run| run.serves) && worker.runs.values().any(|run| run.fills);
         let wait_ms = match (quick, shares) {
             (true, _) => 0,
-            (false, true) => super::throttling::SHARED_LOOK_WAIT_MS,
+            (false, true) => super::throttling::SHARED_POLL_WAIT_MS,
             (false, false) => wait_ms,
         };
         let lease_end_ms = if authority && worker.contact == Contact::Answering {
@@ -49,8 +49,8 @@
             worker.contact == Contact::Answering && now_ms < worker.heard_ms + LEAST_RESTART_MS;
         let last_seen = if is_same { worker.last_seen } else { 0 };
         let callee = worker.callee();
-        self.first_looks += usize::from(first);
-        self.actions.push(Action::Hold {
+        self.first_polls += usize::from(first);
+        self.actions.push(Action::Poll {
             callee,
             last_seen,
             lease_end_ms,
@@ -58,21 +58,21 @@
         });
     }
 
-    /// A look came back: others that waited for it go out.
-    pub(super) fn look_over(&mut self, key: WorkerKey) {
+    /// A poll returned: sends others that waited for it.
+    pub(super) fn poll_ended(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
-        worker.look_in_flight = false;
-        if !std::mem::take(&mut worker.first_look) {
+        worker.poll_in_flight = false;
+        if !std::mem::take(&mut worker.first_poll) {
             return;
         }
-        self.first_looks -= 1;
-        if self.first_looks == MAX_FIRST_LOOKS / 2 {
+        self.first_polls -= 1;
+        if self.first_polls == MAX_FIRST_POLLS / 2 {
             for at in 0..self.workers.len() {
                 // The one that just answered is asked by who took its answer
                 // in: this look carries no lease.
                 let other = at != key.index();
                 if other && self.workers[at].contact == Contact::Unfenced {
-                    self.look_if_due(WorkerKey(at as u32));
+                    self.poll_if_due(WorkerKey(at as u32));
                 }
             }
         }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -332,7 +332,7 @@
     /// A run as a victim; `None` if it may not be taken.
     fn victim(&self, ranked: Ranked, name: RunName, run: &Run) -> Option<Victim> {
         let taken = matches!(run.phase, RunPhase::Starting | RunPhase::Running)
-            && !self.is_unread(name.task.job);
+            && !self.is_unreadable(name.task.job);
         if !taken || run.long_running || ranked.key.job == name.task.job {
             return None;
         }
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -23,8 +23,8 @@
 use super::state::Scheduler;
 use super::worker::{
     CLOCK_DRIFT_PERMILLE,
+    CloseState, //
     Contact,
-    Intake, //
 };
 use super::{
     GraphJob,
@@ -59,7 +59,7 @@
             group.blind = true;
         }
         for at in 0..self.workers.len() {
-            self.look_if_due(WorkerKey(at as u32));
+            self.poll_if_due(WorkerKey(at as u32));
         }
         self.review_blindness();
     }
@@ -92,11 +92,11 @@
         let is_unheard = |worker: &&Worker| {
             worker.on_roster
                 && worker.contact == Contact::Unfenced
-                && worker.intake != Intake::Closed
+                && worker.close_state != CloseState::Closed
         };
         // This runs after each look; it stops at the first worker not heard.
         let unheard = || self.workers.iter().any(|worker| is_unheard(&worker));
-        if self.now_ms < until_ms && (self.roster_unread || unheard()) {
+        if self.now_ms < until_ms && (self.roster_unreadable || unheard()) {
             return;
         }
         let unheard = self.workers.iter().filter(is_unheard);
--- a/src/scheduler/run_ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -1,6 +1,6 @@
 //! Taking in the ends of runs.
 
-use super::acknowledgement::HeardEnd;
+use super::acknowledgement::UnacknowledgedEnd;
 use super::action::{
     Decision,
     StopReason, //
@@ -34,9 +34,9 @@
             self.note_gang_ended(row.name);
         }
         self.run_gone(key, row.name);
-        let end = HeardEnd { row, waits_for };
-        self.worker_mut(key).unnoted.push_back(end);
-        self.with_unnoted.insert(key);
+        let end = UnacknowledgedEnd { row, waits_for };
+        self.worker_mut(key).unacknowledged_ends.push_back(end);
+        self.with_unacknowledged_ends.insert(key);
     }
 
     pub(super) fn keep_end_checkpoint(&mut self, row: &EndedRow) {
--- a/src/scheduler/run_time_model.rs
+++ b/src/scheduler/run_time_model.rs
@@ -1,4 +1,4 @@
-//! What callers' estimates of run times are worth, queue by queue.
+//! Corrects callers' estimates of run times, queue by queue.
 //!
 //! Load pattern: on one queue estimates are right within a fifth, on another they
 //! are off threefold while the run times themselves hardly differ. A straight line
@@ -6,7 +6,7 @@
 //! known, says for each queue how much of an estimate to believe. Limits: until a
 //! few run times are known the estimates are believed as they are.
 
-use super::Belief;
+use super::LogEstimate;
 
 /// Weight of the belief that estimates are right, in run times seen: the line is
 /// the data's after about ten.
@@ -20,7 +20,7 @@
 
 /// Pairs of estimate and true run time, as sums over their logarithms.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RunTimes {
+pub struct RunTimeModel {
     runs: f64,
     mean_estimate: f64,
     mean_time: f64,
@@ -29,7 +29,7 @@
     time_squares: f64,
 }
 
-impl RunTimes {
+impl RunTimeModel {
     /// Takes in a run time that became known, as a logarithm.
     pub fn note(&mut self, estimated_ms: u64, ln_run_ms: f64) {
         let estimate = logarithm(estimated_ms);
@@ -44,7 +44,7 @@
     }
 
     /// What is believed of the run time behind an estimate.
-    pub fn believe(&self, estimated_ms: u64) -> Belief {
+    pub fn predict(&self, estimated_ms: u64) -> LogEstimate {
         let estimate = logarithm(estimated_ms);
         let weight = PRIOR_RUNS * PRIOR_SPREAD;
         let slope = (self.products + weight) / (self.estimate_squares + weight);
@@ -56,7 +56,7 @@
             0.0 => estimate,
             _ => self.mean_estimate,
         };
-        Belief {
+        LogEstimate {
             mean: mean_estimate + bias + slope * (estimate - mean_estimate),
             variance: (residual + PRIOR_RUNS * PRIOR_RESIDUAL) / runs + LEAST_RESIDUAL,
         }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -2,7 +2,7 @@
 
 use super::action::Action;
 use super::ordering::{
-    OrderRule,
+    OrderingPolicy,
     Ranked,
     Tier, //
 };
@@ -371,7 +371,7 @@
     }
 
     /// Takes in what a policy outside said.
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
         key: GroupKey,
         asked: &[WorkerKey],
@@ -414,7 +414,7 @@
     pub(super) fn may_preempt(&self, ranked: &Ranked) -> bool {
         let job = &self.jobs[&ranked.key.job];
         let group = &self.groups[&ranked.key];
-        if self.tuning.order != OrderRule::Worth {
+        if self.tuning.order != OrderingPolicy::Worth {
             return false;
         }
         let on_time = self.now_ms + group.run_ms() <= group.objective_ms;
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -5,20 +5,20 @@
     Decision, //
 };
 use super::emptying::Emptying;
-use super::freshness::View;
+use super::freshness::Freshness;
 use super::headroom::Demand;
 use super::upkeep::Upkeep;
 use super::worker::Contact;
 use super::{
-    Belief,
     ClosedRuns,
     ClusterConfiguration,
     GraphJob,
     Group,
     GroupKey,
     Input,
+    LogEstimate,
     Resources,
-    RunTimes,
+    RunTimeModel,
     Tuning,
     VersionedTerms,
     Worker, //
@@ -62,12 +62,12 @@
     pub groups: usize,
     /// Places for workers, those of workers that are gone included.
     pub workers: usize,
-    /// Jobs that are being forgotten.
-    pub leaving_jobs: usize,
+    /// Jobs whose stored data is being deleted.
+    pub deleting_jobs: usize,
     /// Terms of queues, those of removed queues with jobs included.
     pub queues: usize,
     /// Jobs with a stored value that does not read.
-    pub unread_jobs: usize,
+    pub unreadable_jobs: usize,
 }
 
 /// What was learned of a queue's jobs.
@@ -75,7 +75,7 @@
 pub(super) struct QueueHistory {
     pub jobs: f64,
     pub mean_work: f64,
-    pub run_times: RunTimes,
+    pub run_times: RunTimeModel,
 }
 
 /// The jobs, workers and runs of one fleet.
@@ -111,17 +111,17 @@
     pub(super) worker_index: HashMap<String, WorkerKey>,
     /// Workers by address, those that are gone included.
     pub(super) address_index: HashMap<String, Vec<WorkerKey>>,
-    /// Workers that listed ends of which they are not told yet.
-    pub(super) with_unnoted: BTreeSet<WorkerKey>,
+    /// Workers with ends that are not yet acknowledged.
+    pub(super) with_unacknowledged_ends: BTreeSet<WorkerKey>,
     /// All jobs that were stored before then are known.
     pub(super) jobs_read_ms: u64,
     /// What workers said of themselves until then is known.
-    pub(super) entries_view: View,
+    pub(super) entries_view: Freshness,
     pub(super) jobs: BTreeMap<JobId, GraphJob>,
     /// Jobs with a stored value that does not read.
-    pub(super) unread_jobs: BTreeSet<JobId>,
+    pub(super) unreadable_jobs: BTreeSet<JobId>,
     /// The stored roster does not read.
-    pub(super) roster_unread: bool,
+    pub(super) roster_unreadable: bool,
     /// Closed workers that such a roster may name, with what may run there.
     pub(super) closed_unlisted: HashMap<String, ClosedRuns>,
     /// Urgent jobs within their account's guarantee, as of the last pass.
@@ -130,12 +130,12 @@
     pub(super) groups: BTreeMap<GroupKey, Group>,
     /// Jobs that are being forgotten, until their removal from the store is
     /// known and nothing of them can be under way any more.
-    pub(super) leaving_jobs: BTreeMap<JobId, Option<u64>>,
+    pub(super) deleting_jobs: BTreeMap<JobId, Option<u64>>,
     pub(super) upkeep: Upkeep,
     /// Data centres that get no new tasks.
     pub(super) emptying: Emptying,
-    /// Looks on their way to workers that have not answered this owner yet.
-    pub(super) first_looks: usize,
+    /// Polls in flight to workers that have not answered this owner yet.
+    pub(super) first_polls: usize,
     pub(super) due: BTreeSet<(u64, JobId)>,
     pub(super) review_at_ms: u64,
     pub(super) pass_at_ms: u64,
@@ -167,21 +167,21 @@
             demand: Demand::default(),
             worker_index: HashMap::new(),
             address_index: HashMap::new(),
-            with_unnoted: BTreeSet::new(),
+            with_unacknowledged_ends: BTreeSet::new(),
             jobs_read_ms: 0,
-            entries_view: View::of(now_ms),
+            entries_view: Freshness::of(now_ms),
             jobs: BTreeMap::new(),
-            unread_jobs: BTreeSet::new(),
-            roster_unread: false,
+            unreadable_jobs: BTreeSet::new(),
+            roster_unreadable: false,
             closed_unlisted: HashMap::new(),
             guaranteed: HashSet::new(),
             cancelled_early: HashSet::new(),
             groups: BTreeMap::new(),
-            leaving_jobs: BTreeMap::new(),
+            deleting_jobs: BTreeMap::new(),
             vacant: VecDeque::new(),
             upkeep: Upkeep::default(),
             emptying: Emptying::default(),
-            first_looks: 0,
+            first_polls: 0,
             due: BTreeSet::new(),
             review_at_ms: 0,
             pass_at_ms: 0,
@@ -196,14 +196,16 @@
         self.now_ms = self.now_ms.max(now_ms);
         match input {
             Input::Configure(configuration) => self.configure(configuration),
-            Input::Emptying { orders, checked_ms } => self.take_emptying(orders, checked_ms),
+            Input::EmptyingOrdersRead { orders, checked_ms } => {
+                self.take_emptying(orders, checked_ms)
+            }
             Input::Job {
                 id,
                 record,
                 progress,
             } => {
                 // Told without what was noted of it.
-                if self.is_unread(id) {
+                if self.is_unreadable(id) {
                     return;
                 }
                 self.take_job(id, record, progress);
@@ -211,79 +213,81 @@
                     self.cancel_job(id);
                 }
             }
-            Input::Cancelled(id) => self.cancel_job(id),
+            Input::JobCancelled(id) => self.cancel_job(id),
             Input::JobsRead { sent_ms } => self.jobs_read(sent_ms),
-            Input::Worker(info) => self.take_worker(info),
-            Input::KnownWorker {
+            Input::WorkerRegistered(info) => self.take_worker(info),
+            Input::RosterWorker {
                 worker_name,
                 address,
                 closed_with,
             } => self.take_known_worker(worker_name, address, closed_with),
             Input::WorkerUnlisted(name) => self.worker_unlisted(&name),
             Input::EntriesRead { sent_ms } => self.entries_read(sent_ms),
-            Input::WorkerUnusable {
+            Input::WorkerEntryUnusable {
                 worker_name,
                 reason,
             } => self.worker_unusable(&worker_name, reason),
-            Input::JobUnread(id) => self.job_unread(id),
-            Input::JobRead {
+            Input::JobUnreadable(id) => self.job_unreadable(id),
+            Input::JobReadable {
                 id,
                 record,
                 progress,
             } => {
-                self.job_read(id, record, progress);
+                self.job_readable(id, record, progress);
                 if self.cancelled_early.remove(&id) {
                     self.cancel_job(id);
                 }
             }
-            Input::RosterUnread => self.roster_unread = true,
+            Input::RosterUnreadable => self.roster_unreadable = true,
             Input::ClosedWorker { worker_name, runs } => {
                 self.closed_unlisted.insert(worker_name, runs);
             }
-            Input::Recovered { earlier_owner_over } => self.begin_recovery(earlier_owner_over),
+            Input::StoredStateRead { earlier_owner_over } => {
+                self.begin_recovery(earlier_owner_over)
+            }
             Input::RosterStored(workers) => self.roster_stored(&workers),
-            Input::Held {
+            Input::PollAnswered {
                 worker,
                 sent_ms,
                 report,
-            } => self.held(worker, sent_ms, report),
-            Input::HoldFailed { worker, outcome } => self.hold_failed(worker, outcome),
-            Input::StartOver {
+            } => self.handle_poll_report(worker, sent_ms, report),
+            Input::PollFailed { worker, outcome } => self.handle_poll_failure(worker, outcome),
+            Input::StartResult {
                 worker,
                 name,
                 outcome,
-            } => self.start_over(worker, name, outcome),
-            Input::StopOver {
+            } => self.handle_start_result(worker, name, outcome),
+            Input::StopResult {
                 worker,
                 name,
                 outcome,
-            } => self.stop_over(worker, name, outcome),
-            Input::PaceOver {
+            } => self.handle_stop_result(worker, name, outcome),
+            Input::ThrottleResult {
                 worker,
                 name,
                 outcome,
-            } => self.pace_over(worker, name, outcome),
-            Input::Advised {
+            } => self.handle_throttle_result(worker, name, outcome),
+            Input::AdviceResult {
                 step,
                 asked,
                 approved,
-            } => self.advised(step, &asked, approved),
-            Input::ClosedStored {
+            } => self.handle_advice(step, &asked, approved),
+            Input::ClosedWorkerStored {
                 worker_name,
                 closed,
             } => self.closed_stored(&worker_name, closed),
-            Input::Stored { job, change } => self.stored(job, change),
-            Input::Wave(order) => self.take_wave(order),
-            Input::Machines { sent_ms, machines } => self.take_machines(sent_ms, machines),
-            Input::UpkeepOver {
+            Input::ProgressStored { job, change } => self.stored(job, change),
+            Input::UpkeepWave(order) => self.take_wave(order),
+            Input::MachineList { sent_ms, machines } => self.take_machines(sent_ms, machines),
+            Input::UpkeepResult {
                 wave,
                 machine,
                 outcome,
-            } => self.upkeep_over(wave, &machine, outcome),
-            Input::Forgotten(job) => {
-                self.leaving_jobs.insert(job, Some(self.now_ms));
+            } => self.handle_upkeep_result(wave, &machine, outcome),
+            Input::JobDeleted(job) => {
+                self.deleting_jobs.insert(job, Some(self.now_ms));
             }
-            Input::Confirmed(at_ms) => self.confirmed_ms = self.confirmed_ms.max(at_ms),
+            Input::EpochConfirmed(at_ms) => self.confirmed_ms = self.confirmed_ms.max(at_ms),
             Input::Tick => {}
         }
     }
@@ -365,9 +369,9 @@
             jobs: self.jobs.len(),
             groups: self.groups.len(),
             workers: self.workers.len(),
-            leaving_jobs: self.leaving_jobs.len(),
+            deleting_jobs: self.deleting_jobs.len(),
             queues: self.terms.len(),
-            unread_jobs: self.unread_jobs.len(),
+            unreadable_jobs: self.unreadable_jobs.len(),
         }
     }
 
@@ -438,10 +442,10 @@
     }
 
     /// What is believed of the run time behind a queue's estimate.
-    pub(super) fn run_time_of(&self, queue: &str, estimated_ms: u64) -> Belief {
+    pub(super) fn run_time_of(&self, queue: &str, estimated_ms: u64) -> LogEstimate {
         let history = self.history.get(queue);
         let run_times = history.map(|history| history.run_times).unwrap_or_default();
-        run_times.believe(estimated_ms)
+        run_times.predict(estimated_ms)
     }
 
     /// Looks through workers and runs for what has become due.
@@ -461,7 +465,7 @@
                 self.review_leaving(key);
             }
             self.review_closing(key);
-            self.look_if_due(key);
+            self.poll_if_due(key);
         }
         if may_move {
             self.review_evidence();
@@ -483,11 +487,11 @@
             .collect();
         for id in old {
             self.jobs.remove(&id);
-            self.leaving_jobs.insert(id, None);
-            self.actions.push(Action::Forget { job: id });
+            self.deleting_jobs.insert(id, None);
+            self.actions.push(Action::DeleteJob { job: id });
         }
         let now_ms = self.now_ms;
-        self.leaving_jobs
+        self.deleting_jobs
             .retain(|_, removed_ms| removed_ms.is_none_or(|at_ms| now_ms < at_ms + REMOVED_MS));
     }
 }
--- a/src/scheduler/throttling.rs
+++ b/src/scheduler/throttling.rs
@@ -18,7 +18,7 @@
 use crate::core::WorkerKey;
 
 /// Wait of a look at a worker that shares: as old as the tail that it tells.
-pub(super) const SHARED_LOOK_WAIT_MS: u64 = 400;
+pub(super) const SHARED_POLL_WAIT_MS: u64 = 400;
 /// From this part of the target on, what fills works less.
 const NEAR_TARGET: f64 = 0.85;
 /// Below this part of the target, what fills may work more.
@@ -34,20 +34,20 @@
             let worker = self.worker(key);
             let fills = worker.runs.values().any(|run| run.fills);
             if fills {
-                self.pace_worker(key);
+                self.throttle_worker(key);
             }
         }
     }
 
-    fn pace_worker(&mut self, key: WorkerKey) {
+    fn throttle_worker(&mut self, key: WorkerKey) {
         let pressure = self.pressure(key);
         let heard_ms = self.worker(key).heard_ms;
         let mut changes: Vec<(RunName, u32)> = Vec::new();
         for (&name, run) in &self.worker(key).runs {
-            if !run.fills || run.phase != RunPhase::Running || run.pace_in_flight {
+            if !run.fills || run.phase != RunPhase::Running || run.throttle_in_flight {
                 continue;
             }
-            let known = run.pace_percent.min(100);
+            let known = run.throttle_percent.min(100);
             let wanted = match pressure {
                 Some(pressure) if pressure >= 1.0 => 0,
                 Some(pressure) if pressure >= NEAR_TARGET => known / 2,
@@ -56,13 +56,14 @@
             };
             // One step for each news of the worker, and a pace that may not
             // have arrived is sent again.
-            let news = heard_ms > run.paced_ms.max(run.ordered_ms) || run.pace_percent > 100;
-            if wanted != run.pace_percent && news {
+            let news =
+                heard_ms > run.throttled_ms.max(run.ordered_ms) || run.throttle_percent > 100;
+            if wanted != run.throttle_percent && news {
                 changes.push((name, wanted));
             }
         }
         for (name, percent) in changes {
-            self.send_pace(key, name, percent);
+            self.send_throttle(key, name, percent);
         }
     }
 
@@ -77,17 +78,17 @@
         ratios.reduce(f64::max)
     }
 
-    fn send_pace(&mut self, key: WorkerKey, name: RunName, percent: u32) {
+    fn send_throttle(&mut self, key: WorkerKey, name: RunName, percent: u32) {
         if !self.has_authority() {
             return;
         }
         let worker = self.worker_mut(key);
         let callee = worker.callee();
         if let Some(run) = worker.runs.get_mut(&name) {
-            run.pace_percent = percent;
-            run.pace_in_flight = true;
-            run.paced_ms = worker.heard_ms;
-            self.actions.push(Action::Pace {
+            run.throttle_percent = percent;
+            run.throttle_in_flight = true;
+            run.throttled_ms = worker.heard_ms;
+            self.actions.push(Action::Throttle {
                 callee,
                 name,
                 percent,
--- a/src/scheduler/tuning.rs
+++ b/src/scheduler/tuning.rs
@@ -1,6 +1,6 @@
 //! Bounds that a scheduler is given.
 
-use super::OrderRule;
+use super::OrderingPolicy;
 
 /// Bounds of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,8 +20,8 @@
     pub stop_ms: u64,
     /// Within so long guaranteed work begins, stops of others included.
     pub reclaim_ms: u64,
-    /// Wait of a look at a worker.
-    pub look_wait_ms: u64,
+    /// How long a worker may hold a poll open.
+    pub poll_wait_ms: u64,
     /// How long an ended job is remembered.
     pub retention_ms: u64,
     /// Tasks with data on a rack, or tight gangs, take this many times as long
@@ -32,7 +32,7 @@
     /// Time between two checkpoints.
     pub checkpoint_ms: u64,
     /// What orders waiting work.
-    pub order: OrderRule,
+    pub order: OrderingPolicy,
     /// An owner that read the operators' orders longer ago than this starts
     /// nothing.
     pub orders_view_ms: u64,
@@ -72,12 +72,12 @@
             start_window_ms: 1_500,
             stop_ms: 200,
             reclaim_ms: 2_700,
-            look_wait_ms: 1_000,
+            poll_wait_ms: 1_000,
             retention_ms: 150_000,
             remote_factor: 3.0,
             restore_ms: 600,
             checkpoint_ms: 2_000,
-            order: OrderRule::Worth,
+            order: OrderingPolicy::Worth,
             orders_view_ms: u64::MAX,
             entries_view_ms: u64::MAX,
             upkeep_ms: 2_000,
--- a/src/scheduler/unreadable.rs
+++ b/src/scheduler/unreadable.rs
@@ -29,23 +29,23 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// A value of a job does not read.
-    pub(super) fn job_unread(&mut self, id: JobId) {
+    /// A stored value of a job cannot be decoded.
+    pub(super) fn job_unreadable(&mut self, id: JobId) {
         let known = self.jobs.contains_key(&id)
-            || self.leaving_jobs.contains_key(&id)
+            || self.deleting_jobs.contains_key(&id)
             || self.cancelled_early.contains(&id);
         if !known {
-            self.unread_jobs.insert(id);
+            self.unreadable_jobs.insert(id);
         }
     }
 
-    /// Whether a value of the job does not read.
-    pub(super) fn is_unread(&self, id: JobId) -> bool {
-        self.unread_jobs.contains(&id)
+    /// Whether a stored value of the job cannot be decoded.
+    pub(super) fn is_unreadable(&self, id: JobId) -> bool {
+        self.unreadable_jobs.contains(&id)
     }
 
     /// The values of a job read now.
-    pub(super) fn job_read(
+    pub(super) fn job_readable(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
@@ -54,7 +54,7 @@
         let runs = self.take_unread_runs(id);
         // The ends that were heard meanwhile are taken in with the job.
         self.take_job(id, record, progress);
-        self.unread_jobs.remove(&id);
+        self.unreadable_jobs.remove(&id);
         for (key, row) in runs {
             self.adopt(key, &row);
         }
@@ -63,7 +63,7 @@
 
     /// A job that is cancelled needs no progress: whatever runs of it stops.
     pub(super) fn unread_job_cancelled(&mut self, id: JobId) {
-        if !self.unread_jobs.remove(&id) {
+        if !self.unreadable_jobs.remove(&id) {
             return;
         }
         for (key, name) in self.runs_of_job(id) {
@@ -76,7 +76,7 @@
     /// run that is found.
     fn take_unread_runs(&mut self, id: JobId) -> Vec<(WorkerKey, RunningRow)> {
         let mut rows = Vec::new();
-        if !self.is_unread(id) {
+        if !self.is_unreadable(id) {
             return rows;
         }
         for (key, name) in self.runs_of_job(id) {
@@ -107,14 +107,14 @@
 
     /// Asks to have the roster stored; not over one that does not read.
     pub(super) fn ask_to_store_roster(&mut self) {
-        if !self.roster_unread {
+        if !self.roster_unreadable {
             self.actions.push(Action::StoreRoster);
         }
     }
 
     /// The longest lease is over: what the unread roster named matters no more.
     pub(super) fn replace_unread_roster(&mut self) {
-        if !std::mem::take(&mut self.roster_unread) {
+        if !std::mem::take(&mut self.roster_unreadable) {
             return;
         }
         self.closed_unlisted.clear();
@@ -134,7 +134,7 @@
         let worker = self.worker_mut(key);
         worker.on_roster = worker.contact != Contact::Gone;
         if self.recovered {
-            self.look_if_due(key);
+            self.poll_if_due(key);
         }
     }
 }
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -181,7 +181,7 @@
             absent: BTreeMap::new(),
         };
         self.upkeep.waves.insert(order.number, wave);
-        self.actions.push(Action::StoreWave {
+        self.actions.push(Action::StoreWaveState {
             wave: order.number,
             completed: false,
         });
@@ -220,7 +220,12 @@
     }
 
     /// Takes in what became of an order.
-    pub(super) fn upkeep_over(&mut self, number: u64, machine: &str, outcome: UpkeepOutcome) {
+    pub(super) fn handle_upkeep_result(
+        &mut self,
+        number: u64,
+        machine: &str,
+        outcome: UpkeepOutcome,
+    ) {
         let now_ms = self.now_ms;
         let turn = self.upkeep.waves.get_mut(&number);
         let Some(turn) = turn.and_then(|wave| wave.turns.get_mut(machine)) else {
@@ -235,7 +240,7 @@
             }
             UpkeepOutcome::NotOfWave => Turn::Over,
             UpkeepOutcome::Fenced => {
-                self.actions.push(Action::Deposed);
+                self.actions.push(Action::OwnershipLost);
                 return;
             }
             UpkeepOutcome::Limited => Turn::Ordered {
@@ -275,7 +280,7 @@
             if self.upkeep.waves[&number].left() == 0 {
                 self.upkeep.waves.remove(&number);
                 self.upkeep.completed.insert(number);
-                self.actions.push(Action::StoreWave {
+                self.actions.push(Action::StoreWaveState {
                     wave: number,
                     completed: true,
                 });
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -2,15 +2,15 @@
 
 use super::action::Callee;
 use super::{
-    AddressDispute,
-    Belief,
+    AddressConflict,
     ConfirmedRun,
     GroupKey,
-    HeardEnd,
     LateStart,
+    LogEstimate,
     Progress,
     Resources,
     RunName,
+    UnacknowledgedEnd,
     WorkerInfo, //
 };
 use crate::core::{
@@ -36,7 +36,7 @@
 
 /// Ends that a worker lists in one answer are 500 at most. One with nearly as many
 /// that wait gets no work: the ends that follow would never be heard of.
-const MAX_UNNOTED: usize = 400;
+const MAX_UNACKNOWLEDGED_ENDS: usize = 400;
 
 /// Where a run stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -90,14 +90,14 @@
     pub advanced_ms: u64,
     /// What its progress tells of its worker and of its task.
     pub progress: Progress,
-    /// The news of the worker on which its pace last rested.
-    pub paced_ms: u64,
+    /// When the worker's report that its last throttle order rested on was received.
+    pub throttled_ms: u64,
     /// What the worker said of its use: response tail or cores.
     pub usage: Option<f64>,
-    /// The share at which it works.
-    pub pace_percent: u32,
-    /// A pace on its way to the worker.
-    pub pace_in_flight: bool,
+    /// The share of its full speed to which it is limited.
+    pub throttle_percent: u32,
+    /// A throttle order is in flight.
+    pub throttle_in_flight: bool,
     /// Its cores are not counted.
     pub fills: bool,
     /// It serves users under a target.
@@ -123,7 +123,7 @@
 
 /// Whether the store says that a worker gets no more starts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Intake {
+pub enum CloseState {
     /// It says nothing: starts may go there.
     Open,
     /// It is being told so.
@@ -160,10 +160,10 @@
             percent: 0,
             advanced_ms: now_ms,
             progress: Progress::default(),
-            paced_ms: 0,
+            throttled_ms: 0,
             usage: None,
-            pace_percent: u32::MAX,
-            pace_in_flight: false,
+            throttle_percent: u32::MAX,
+            throttle_in_flight: false,
             fills: false,
             serves: false,
             long_running: false,
@@ -189,12 +189,12 @@
     pub listed: bool,
     /// Why that names no worker to use, if it does not.
     pub entry_problem: Option<&'static str>,
-    /// That names another address than the one at which it was known.
-    pub dispute: Option<AddressDispute>,
+    /// Set if its entry names another address than the one at which it was known.
+    pub address_conflict: Option<AddressConflict>,
     /// The roster in the store names it.
     pub on_roster: bool,
     /// Whether the store says that it gets no more starts.
-    pub intake: Intake,
+    pub close_state: CloseState,
     /// How well it is known.
     pub contact: Contact,
     /// Its clock and when that was read.
@@ -205,8 +205,8 @@
     pub lease_end_ms: u64,
     /// When it last answered.
     pub heard_ms: u64,
-    /// Looks that failed in a row.
-    pub failed_looks: u32,
+    /// Polls that failed in a row.
+    pub failed_polls: u32,
     /// What is there, from the order to the listed end.
     pub runs: BTreeMap<RunName, Run>,
     /// Room taken by them.
@@ -215,14 +215,14 @@
     pub last_seen: u64,
     /// Ends up to here are taken in.
     pub taken_in: u64,
-    /// Ends taken in that are not durable, in the order of their numbers.
-    pub unnoted: VecDeque<HeardEnd>,
-    /// A look is on its way.
-    pub look_in_flight: bool,
-    /// That look is one of the first, which are bounded.
-    pub first_look: bool,
-    /// When to look next.
-    pub look_at_ms: u64,
+    /// Ends that were reported but not yet acknowledged, in the order of their numbers.
+    pub unacknowledged_ends: VecDeque<UnacknowledgedEnd>,
+    /// A poll is in flight.
+    pub poll_in_flight: bool,
+    /// That poll is a first one, of which only so many may be in flight.
+    pub first_poll: bool,
+    /// When to send the next poll.
+    pub poll_at_ms: u64,
     /// No room there until then, whatever the sums say.
     pub full_until_ms: u64,
     /// It has said that it is leaving.
@@ -246,7 +246,7 @@
     /// Jobs that failed there since the last one was done, with the times.
     pub failures: Vec<(u64, JobId)>,
     /// Run times there against those on a usual worker, as a logarithm.
-    pub slowness: Belief,
+    pub slowness: LogEstimate,
     address: Arc<str>,
     name: Arc<str>,
     rack: Arc<str>,
@@ -271,23 +271,23 @@
             draining_since_ms: None,
             listed: false,
             entry_problem: None,
-            dispute: None,
+            address_conflict: None,
             on_roster: false,
-            intake: Intake::Open,
+            close_state: CloseState::Open,
             contact: Contact::Unfenced,
             clock: None,
             clock_doubted: false,
             lease_end_ms: 0,
             heard_ms: 0,
-            failed_looks: 0,
+            failed_polls: 0,
             runs: BTreeMap::new(),
             used: Resources::default(),
             last_seen: 0,
             taken_in: 0,
-            unnoted: VecDeque::new(),
-            look_in_flight: false,
-            first_look: false,
-            look_at_ms: 0,
+            unacknowledged_ends: VecDeque::new(),
+            poll_in_flight: false,
+            first_poll: false,
+            poll_at_ms: 0,
             full_until_ms: 0,
             has_drained: false,
             upkeep_next: false,
@@ -299,7 +299,7 @@
             quarantined_until_ms: 0,
             quarantine_ms: 0,
             failures: Vec::new(),
-            slowness: Belief::of_slowness(),
+            slowness: LogEstimate::of_slowness(),
         }
     }
 
@@ -374,14 +374,14 @@
     pub fn takes_work(&self, now_ms: u64) -> bool {
         self.contact == Contact::Answering
             && self.is_usable()
-            && self.unnoted.len() < MAX_UNNOTED
+            && self.unacknowledged_ends.len() < MAX_UNACKNOWLEDGED_ENDS
             && self.on_roster
-            && self.intake == Intake::Open
+            && self.close_state == CloseState::Open
             && !self.upkeep_next
             && !self.emptied
             && !self.is_overfull()
             && !self.info.draining
-            && self.failed_looks == 0
+            && self.failed_polls == 0
             && self.clock.is_some()
             && !self.clock_doubted
             && now_ms >= self.full_until_ms
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -25,7 +25,7 @@
 
 /// An address that an entry names beside the one at which its worker was known.
 #[derive(Clone, Debug)]
-pub struct AddressDispute {
+pub struct AddressConflict {
     /// What the entry says.
     entry: String,
     /// The one of the two that is not called now.
@@ -82,18 +82,19 @@
         // yet, or is over.
         let untried =
             worker.contact == Contact::Unfenced && worker.clock.is_none() && !worker.on_roster;
-        let untried = worker.contact == Contact::Gone || (untried && worker.dispute.is_none());
+        let untried =
+            worker.contact == Contact::Gone || (untried && worker.address_conflict.is_none());
         let known = worker.info.address.clone();
         if info.address != known && untried {
             self.forget_address(key);
             self.note_address(&info.address, key);
-            self.worker_mut(key).dispute = None;
+            self.worker_mut(key).address_conflict = None;
         } else if info.address != known {
             let entry = std::mem::replace(&mut info.address, known);
             let other = entry.clone();
-            self.worker_mut(key).dispute = Some(AddressDispute { entry, other });
-        } else if let Some(dispute) = &mut self.worker_mut(key).dispute {
-            dispute.entry = known;
+            self.worker_mut(key).address_conflict = Some(AddressConflict { entry, other });
+        } else if let Some(address_conflict) = &mut self.worker_mut(key).address_conflict {
+            address_conflict.entry = known;
         }
         let now_ms = self.now_ms;
         self.worker_mut(key).update(info, now_ms);
@@ -113,27 +114,31 @@
     /// entry says.
     fn review_entry(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
-        let settled = worker.dispute.as_ref().is_some_and(|dispute| {
-            dispute.entry == worker.info.address && worker.contact == Contact::Answering
-        });
+        let settled = worker
+            .address_conflict
+            .as_ref()
+            .is_some_and(|address_conflict| {
+                address_conflict.entry == worker.info.address
+                    && worker.contact == Contact::Answering
+            });
         if settled {
-            worker.dispute = None;
+            worker.address_conflict = None;
         }
         let other_incarnation = worker.is_entry_of_another().then_some(OTHER_INCARNATION);
-        let other_address = worker.dispute.is_some().then_some(OTHER_ADDRESS);
+        let other_address = worker.address_conflict.is_some().then_some(OTHER_ADDRESS);
         self.note_problem(key, other_address.or(other_incarnation));
     }
 
     /// Calls a worker that did not answer at its other address the next time.
     pub(super) fn try_other_address(&mut self, key: WorkerKey) {
-        let Some(mut dispute) = self.worker(key).dispute.clone() else {
+        let Some(mut address_conflict) = self.worker(key).address_conflict.clone() else {
             return;
         };
         self.forget_address(key);
-        self.note_address(&dispute.other, key);
+        self.note_address(&address_conflict.other, key);
         let worker = self.worker_mut(key);
-        dispute.other = worker.call_at(&dispute.other);
-        worker.dispute = Some(dispute);
+        address_conflict.other = worker.call_at(&address_conflict.other);
+        worker.address_conflict = Some(address_conflict);
     }
 
     /// What an answer tells of a worker. That another life answers at an address
@@ -142,7 +147,7 @@
     /// while they go on.
     pub(super) fn judged(&self, key: WorkerKey, outcome: CallOutcome) -> CallOutcome {
         match outcome {
-            CallOutcome::OtherIncarnation if self.worker(key).dispute.is_some() => {
+            CallOutcome::OtherIncarnation if self.worker(key).address_conflict.is_some() => {
                 CallOutcome::NoAnswer
             }
             other => other,
--- a/src/scheduler/worker_health.rs
+++ b/src/scheduler/worker_health.rs
@@ -164,7 +164,7 @@
         let now_ms = self.now_ms;
         let mut stalled = Vec::new();
         for worker in &self.workers {
-            if worker.failed_looks > 0 {
+            if worker.failed_polls > 0 {
                 continue;
             }
             for (&name, run) in &worker.runs {
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -22,11 +22,11 @@
 use super::action::Decision;
 use super::crashes::Loss;
 use super::state::Scheduler;
-use super::worker::Intake;
+use super::worker::CloseState;
 use super::{
     ConfirmedRun,
     GroupKey,
-    HoldReport,
+    PollReport,
     Resources,
     Run,
     RunName,
@@ -103,7 +103,7 @@
         &mut self,
         key: WorkerKey,
         sent_ms: u64,
-        report: &HoldReport,
+        report: &PollReport,
     ) -> WorkerKey {
         let Some(incarnation_start_ms) = report.incarnation_start_ms else {
             return key;
@@ -124,7 +124,7 @@
         old: WorkerKey,
         sent_ms: u64,
         incarnation_start_ms: u64,
-        report: &HoldReport,
+        report: &PollReport,
     ) -> WorkerKey {
         let now_ms = self.now_ms;
         let running = report.running.iter().map(|row| row.name);
@@ -173,20 +173,20 @@
         let info = self.worker(old).info.clone();
         let key = self.add_worker(info);
         let before = self.worker_mut(old);
-        let (on_roster, intake) = (before.on_roster, before.intake);
+        let (on_roster, close_state) = (before.on_roster, before.close_state);
         // Both are the new one's: nothing is to be stored of the one before.
         before.on_roster = false;
-        before.intake = Intake::Open;
+        before.close_state = CloseState::Open;
         let (listed, problem) = (before.listed, before.entry_problem);
-        let (dispute, emptied) = (before.dispute.take(), before.emptied);
+        let (address_conflict, emptied) = (before.address_conflict.take(), before.emptied);
         let late_starts = std::mem::take(&mut before.late_starts);
         let worker = self.worker_mut(key);
         worker.incarnation_start_ms = Some(incarnation_start_ms);
         worker.on_roster = on_roster;
-        worker.intake = intake;
+        worker.close_state = close_state;
         worker.listed = listed;
         worker.entry_problem = problem;
-        worker.dispute = dispute;
+        worker.address_conflict = address_conflict;
         worker.emptied = emptied;
         worker.late_starts = late_starts;
         key
@@ -204,7 +204,7 @@
         let now_ms = self.now_ms;
         self.worker_mut(old).remove_run(&name);
         run.in_flight = false;
-        run.pace_in_flight = false;
+        run.throttle_in_flight = false;
         if !run.confirmed {
             let worker = self.worker_mut(key);
             worker.note_late_start(name, run.room, now_ms);
--- a/src/scheduler/worker_speed.rs
+++ b/src/scheduler/worker_speed.rs
@@ -37,16 +37,16 @@
 /// Members of a gang that differ by this factor do not tell lasting speeds, which
 /// differ less: one of them is slow for a while.
 const PASSING_FACTOR: f64 = 2.0;
-/// What is believed of the logarithm of a factor or of a time.
+/// An estimate of the logarithm of a factor or of a time, with its variance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Belief {
+pub struct LogEstimate {
     /// The most likely value.
     pub mean: f64,
     /// How far off it may be.
     pub variance: f64,
 }
 
-impl Belief {
+impl LogEstimate {
     /// Of a worker's run times against those on a usual one.
     pub fn of_slowness() -> Self {
         Self {
@@ -228,7 +228,7 @@
             }
         }
         if let Some(group) = self.groups.get_mut(&key) {
-            group.run_time = Belief {
+            group.run_time = LogEstimate {
                 mean: sum / precision,
                 variance: 1.0 / precision,
             };
--- a/tests/cancelled.rs
+++ b/tests/cancelled.rs
@@ -38,7 +38,7 @@
 fn cancelled_beside_a_silent_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
     const GIVEN_UP_MS: u64 = 4_000;
     let (mut fleet, job, sent) = started_on_a_silent_worker(record);
-    fleet.tell(Input::Cancelled(job));
+    fleet.tell(Input::JobCancelled(job));
     fleet.advance(GIVEN_UP_MS);
     (fleet, job, sent)
 }
@@ -108,7 +108,7 @@
     assert_eq!(fleet.running().len(), 2);
 
     let mut next = fleet.next_owner(2, &[(job, record)], true);
-    next.tell(Input::Cancelled(job));
+    next.tell(Input::JobCancelled(job));
     next.advance(STOPPED_MS);
 
     assert_eq!(next.running(), []);
@@ -123,7 +123,7 @@
     let (fleet, job, sent) = started_on_a_silent_worker(record.clone());
     let known = [(job, record)];
     let mut next = fleet.next_owner(2, &known, true);
-    next.tell(Input::Cancelled(job));
+    next.tell(Input::JobCancelled(job));
     next.advance(2_000);
 
     carry_out_late(&mut next, &sent);
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -30,7 +30,7 @@
 /// What a worker says once so many accelerators are left to it.
 fn shrunk(name: &str, accelerators: u32) -> Input {
     let usual = worker_info(name, "r1");
-    Input::Worker(WorkerInfo {
+    Input::WorkerRegistered(WorkerInfo {
         capacity: Resources {
             accelerators,
             ..usual.capacity
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -488,7 +488,7 @@
         fleet.advance(200);
         let (worker, _) = fleet.running().pop().expect("it runs");
         if round % 2 == 0 {
-            fleet.tell(Input::Worker(leaving_info(&worker, 60_000)));
+            fleet.tell(Input::WorkerRegistered(leaving_info(&worker, 60_000)));
             fleet.advance(50);
             fleet.crash(&worker);
             fleet.advance(4_000);
@@ -552,7 +552,7 @@
 #[test]
 fn an_address_is_not_blamed_for_a_worker_that_left_it() {
     let mut fleet = Fleet::with_workers(2);
-    fleet.tell(Input::Worker(leaving_info("w0", 1_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info("w0", 1_000)));
     fleet.advance(100);
     fleet.crash("w0");
     fleet.advance(8_000);
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -18,10 +18,10 @@
     Decision,
     EndKind,
     EndedRow,
-    HoldReport,
     Input,
     JobRecord,
     JobView,
+    PollReport,
     RunName,
     Schedule,
     TaskId, //
@@ -211,7 +211,7 @@
         kind: EndKind::Stopped,
         checkpoint: "".into(),
     });
-    let report = HoldReport {
+    let report = PollReport {
         clock_ms: fleet.now_ms,
         incarnation_start_ms: None,
         running: Vec::new(),
@@ -219,7 +219,7 @@
     };
     let worker = fleet.scheduler.workers()[0].key;
 
-    fleet.tell(Input::Held {
+    fleet.tell(Input::PollAnswered {
         worker,
         sent_ms: fleet.now_ms,
         report,
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -74,7 +74,7 @@
 
 /// The store shows that these data centres, and no others, are to be emptied.
 fn order(fleet: &mut Fleet, data_centres: &[&str]) {
-    fleet.tell(Input::Emptying {
+    fleet.tell(Input::EmptyingOrdersRead {
         orders: orders(data_centres),
         checked_ms: fleet.now_ms,
     });
@@ -519,7 +519,7 @@
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(50);
 
-    fleet.tell(Input::Worker(WorkerInfo {
+    fleet.tell(Input::WorkerRegistered(WorkerInfo {
         data_centre: "b".to_owned(),
         draining: true,
         remaining_ms: Some(0),
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -290,13 +290,13 @@
         },
         Entry::Bytes(bytes) => return decoded(&name(at), bytes),
     };
-    Input::Worker(info)
+    Input::WorkerRegistered(info)
 }
 
 fn decoded(worker_name: &str, bytes: &[u8]) -> Input {
     match decode_worker(worker_name, bytes) {
-        Ok(info) => Input::Worker(info),
-        Err(error) => Input::WorkerUnusable {
+        Ok(info) => Input::WorkerRegistered(info),
+        Err(error) => Input::WorkerEntryUnusable {
             worker_name: worker_name.to_owned(),
             reason: error.reason(),
         },
@@ -411,11 +411,11 @@
         let (entries, unread) = (&self.entries, &self.unread);
         let mut next = before.next_owner_told(self.epoch, false, |next| {
             if !roster_reads {
-                next.tell(Input::RosterUnread);
+                next.tell(Input::RosterUnreadable);
             }
             for (at, entry) in entries.iter().enumerate() {
                 if roster_reads {
-                    next.tell(Input::KnownWorker {
+                    next.tell(Input::RosterWorker {
                         worker_name: name(at),
                         address: address_of(&name(at)),
                         closed_with: before.closed.get(&name(at)).cloned().flatten(),
@@ -432,7 +432,7 @@
             }
             for (id, record) in jobs {
                 next.tell(match unread.contains(id) {
-                    true => Input::JobUnread(*id),
+                    true => Input::JobUnreadable(*id),
                     false => Input::Job {
                         id: *id,
                         record: Arc::new(record.clone()),
@@ -450,7 +450,7 @@
             let (_, record) = self.jobs.iter().find(|(own, _)| *own == id).expect("a job");
             let noted = self.fleet.stored.get(&id);
             let progress = noted.map(|(_, noted)| noted.clone());
-            self.fleet.tell(Input::JobRead {
+            self.fleet.tell(Input::JobReadable {
                 id,
                 record: Arc::new(record.clone()),
                 progress,
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -22,7 +22,7 @@
 const LEASES_OVER_MS: u64 = 15_000;
 
 fn unusable(name: &str) -> Input {
-    Input::WorkerUnusable {
+    Input::WorkerEntryUnusable {
         worker_name: name.to_owned(),
         reason: "bad_state",
     }
@@ -82,7 +82,7 @@
     let completed = fleet.scheduler.job_view(first);
     assert_eq!(completed, Some(JobView::Completed), "its end is heard");
     assert_eq!(fleet.highest_last_seen[&worker], 1, "and acknowledged");
-    fleet.tell(Input::Worker(worker_info(&worker, "r1")));
+    fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.advance(500);
     assert_eq!(starts_on(&fleet, &worker), 5, "it serves again");
 }
@@ -130,7 +130,7 @@
         ..worker_info("w0", "r1")
     };
 
-    fleet.tell(Input::Worker(other));
+    fleet.tell(Input::WorkerRegistered(other));
     fleet.submit(2, record("plain", vec![step(1, 1)]));
     work_for(&mut fleet, 5_000);
 
@@ -144,7 +144,7 @@
 fn called_at(fleet: &Fleet, worker: &str) -> String {
     let calls = fleet.actions.iter().rev();
     let mut calls = calls.filter_map(|action| match action {
-        Action::Hold { callee, .. } if &*callee.worker_name == worker => {
+        Action::Poll { callee, .. } if &*callee.worker_name == worker => {
             Some(callee.address.to_string())
         }
         _ => None,
@@ -165,7 +165,7 @@
         ..worker_info(&worker, "r1")
     };
 
-    fleet.tell(Input::Worker(overwritten));
+    fleet.tell(Input::WorkerRegistered(overwritten));
     fleet.submit(2, record("plain", vec![step(2, 1)]));
     work_for(&mut fleet, LEASES_OVER_MS);
 
@@ -181,7 +181,7 @@
     fleet.silent.push(worker.clone());
     work_for(&mut fleet, 1_500);
     let tried = fleet.actions.iter().any(|action| {
-        matches!(action, Action::Hold { callee, .. }
+        matches!(action, Action::Poll { callee, .. }
             if *callee.worker_name == worker && *callee.address == *other)
     });
     assert!(tried, "the other address is tried");
@@ -192,7 +192,7 @@
     assert_eq!(again.count(), 1, "its lease is not over");
 
     fleet.silent.clear();
-    fleet.tell(Input::Worker(worker_info(&worker, "r1")));
+    fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.end_all(JobId(2), EndKind::Done);
     fleet.advance(1_500);
     fleet.submit(3, record("plain", vec![step(16, 1)]));
@@ -209,7 +209,7 @@
 fn a_worker_that_answers_does_not_end_one_whose_entry_claims_its_address() {
     let (mut fleet, job, worker, _) = with_one_run();
     let other = if worker == "w0" { "w1" } else { "w0" };
-    fleet.tell(Input::Worker(WorkerInfo {
+    fleet.tell(Input::WorkerRegistered(WorkerInfo {
         address: address_of(other),
         ..worker_info(&worker, "r1")
     }));
@@ -234,7 +234,7 @@
 fn next_owner_without_progress() -> (Fleet, JobId, String, RunName) {
     let (fleet, job, worker, run) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
-    next.tell(Input::JobUnread(job));
+    next.tell(Input::JobUnreadable(job));
     next.advance(500);
     (next, job, worker, run)
 }
@@ -256,7 +256,7 @@
     assert_eq!(next.highest_last_seen[&worker], 0, "its end is not lost");
     assert_eq!(next.starts, []);
 
-    next.tell(Input::JobRead {
+    next.tell(Input::JobReadable {
         id: job,
         record: Arc::new(spec),
         progress: None,
@@ -272,7 +272,7 @@
 fn a_run_of_a_job_that_reads_again_is_taken_over() {
     let (mut next, job, worker, run) = next_owner_without_progress();
 
-    next.tell(Input::JobRead {
+    next.tell(Input::JobReadable {
         id: job,
         record: Arc::new(record("plain", vec![step(1, 1)])),
         progress: None,
@@ -292,10 +292,10 @@
     let (fleet, job, worker, _) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
     next.silent.push(worker);
-    next.tell(Input::JobUnread(job));
+    next.tell(Input::JobUnreadable(job));
     work_for(&mut next, 3_000);
 
-    next.tell(Input::JobRead {
+    next.tell(Input::JobReadable {
         id: job,
         record: Arc::new(record("plain", vec![step(1, 1)])),
         progress: None,
@@ -309,7 +309,7 @@
 fn a_cancelled_job_needs_no_progress() {
     let (mut next, job, worker, run) = next_owner_without_progress();
 
-    next.tell(Input::Cancelled(job));
+    next.tell(Input::JobCancelled(job));
     next.advance(1_000);
 
     assert_eq!(next.stops, [(run, worker.clone())]);
@@ -337,18 +337,18 @@
     let fleet = Fleet::with_workers(1);
     let mut next = fleet.next_owner_told(2, true, |next| {
         next.store_answers = false;
-        next.tell(Input::RosterUnread);
+        next.tell(Input::RosterUnreadable);
         next.tell(Input::ClosedWorker {
             worker_name: "w0".to_owned(),
             runs: Vec::new().into(),
         });
-        next.tell(Input::Worker(worker_info("w0", "r1")));
+        next.tell(Input::WorkerRegistered(worker_info("w0", "r1")));
     });
 
     next.submit(1, record("plain", vec![step(1, 1)]));
     next.advance(2_000);
     assert_eq!(next.starts, [], "the store says that nothing starts there");
-    next.tell(Input::ClosedStored {
+    next.tell(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
         closed: false,
     });
@@ -365,8 +365,8 @@
     let spec = record("plain", vec![step(1, 1)]);
     let other = if worker == "w0" { "w1" } else { "w0" };
     let mut next = fleet.next_owner_told(2, false, |next| {
-        next.tell(Input::RosterUnread);
-        next.tell(Input::Worker(worker_info(other, "r1")));
+        next.tell(Input::RosterUnreadable);
+        next.tell(Input::WorkerRegistered(worker_info(other, "r1")));
         next.tell(Input::Job {
             id: job,
             record: Arc::new(spec.clone()),
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -75,7 +75,7 @@
     let leaving = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     fleet.stops_take_effect = false;
-    fleet.tell(Input::Cancelled(leaving));
+    fleet.tell(Input::JobCancelled(leaving));
     fleet.advance(20);
     fleet.submit(2, record("plain", vec![gang(2, 8)]));
     fleet.advance(20);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -22,10 +22,10 @@
     ClosedRuns,
     EndKind,
     GroupKey,
-    HoldReport,
     Input,
     JobRecord,
     JobView,
+    PollReport,
     RunName,
     Schedule,
     Scheduler,
@@ -41,14 +41,14 @@
     let mut scheduler = Scheduler::new(2, Tuning::default(), BEGIN_MS);
     scheduler.take(Input::Configure(Arc::new(configuration(64))), BEGIN_MS);
     for at in 0..count {
-        let known = Input::KnownWorker {
+        let known = Input::RosterWorker {
             worker_name: format!("w{at}"),
             address: format!("w{at}:1"),
             closed_with: None,
         };
         scheduler.take(known, BEGIN_MS);
     }
-    let recovered = Input::Recovered {
+    let recovered = Input::StoredStateRead {
         earlier_owner_over: true,
     };
     scheduler.take(recovered, BEGIN_MS);
@@ -287,7 +287,7 @@
     fleet.settle();
     assert!(fleet.starts.is_empty());
 
-    fleet.tell(Input::Confirmed(fleet.now_ms));
+    fleet.tell(Input::EpochConfirmed(fleet.now_ms));
     fleet.now_ms += 300;
     fleet.settle();
     assert_eq!(fleet.starts.len(), 1);
@@ -329,7 +329,7 @@
     fleet.end_all(job, EndKind::Done);
     fleet.advance(50);
     let is_forgotten =
-        |action: &Action| matches!(action, Action::Forget { job: own } if *own == job);
+        |action: &Action| matches!(action, Action::DeleteJob { job: own } if *own == job);
     fleet.store_answers = false;
     fleet.advance(Tuning::default().retention_ms + 200);
     assert!(fleet.actions.iter().any(is_forgotten), "it is forgotten");
@@ -338,7 +338,7 @@
     fleet.advance(500);
     assert_eq!(fleet.starts.len(), 1, "it is not started again");
 
-    fleet.tell(Input::Forgotten(job));
+    fleet.tell(Input::JobDeleted(job));
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
     assert_eq!(fleet.starts.len(), 1, "nor by a late message");
@@ -371,15 +371,15 @@
             jobs: most.jobs.max(sizes.jobs),
             groups: most.groups.max(sizes.groups),
             workers: most.workers.max(sizes.workers),
-            leaving_jobs: most.leaving_jobs.max(sizes.leaving_jobs),
+            deleting_jobs: most.deleting_jobs.max(sizes.deleting_jobs),
             queues: most.queues.max(sizes.queues),
-            unread_jobs: most.unread_jobs.max(sizes.unread_jobs),
+            unreadable_jobs: most.unreadable_jobs.max(sizes.unreadable_jobs),
         };
     }
     let kept_lives = (Tuning::default().retention_ms / LIFE_MS) as usize + 2;
     assert!(most.jobs <= kept_lives, "{most:?}");
     assert!(most.groups <= 2, "{most:?}");
-    assert!(most.leaving_jobs <= 8, "those of half a minute: {most:?}");
+    assert!(most.deleting_jobs <= 8, "those of half a minute: {most:?}");
     assert!(most.queues <= kept_lives + 4, "{most:?}");
     // A place is free again half a minute after its worker is gone.
     assert!(most.workers <= 12, "{most:?}");
@@ -395,7 +395,7 @@
     fleet.submit(1, first.1.clone());
     fleet.advance(50);
     let (leaving, run) = fleet.running()[0].clone();
-    fleet.tell(Input::Worker(leaving_info(&leaving, 60_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info(&leaving, 60_000)));
     fleet.advance(200);
     let closed = fleet.closed[&leaving].as_ref();
     let there = closed.map(|closed| &closed.runs);
@@ -453,7 +453,7 @@
     fleet.advance(1_000);
     assert!(fleet.starts.is_empty(), "not while the store says so");
 
-    fleet.tell(Input::ClosedStored {
+    fleet.tell(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
         closed: false,
     });
@@ -493,7 +493,7 @@
         ..worker_info("w0", "r1")
     };
 
-    fleet.tell(Input::Worker(info));
+    fleet.tell(Input::WorkerRegistered(info));
     fleet.advance(100);
 
     let key = fleet.scheduler.workers()[0].key;
@@ -514,7 +514,7 @@
     assert!(fleet.starts.is_empty(), "another may own meanwhile");
 
     let confirmed_ms = fleet.now_ms;
-    fleet.tell(Input::Confirmed(confirmed_ms));
+    fleet.tell(Input::EpochConfirmed(confirmed_ms));
     fleet.settle();
     fleet.now_ms += 300;
     fleet.settle();
@@ -532,7 +532,7 @@
     let (mut on_their_way, mut most, mut asked) = (Vec::new(), 0, 0);
     for now_ms in BEGIN_MS..BEGIN_MS + 2_000 {
         for action in scheduler.decide(now_ms) {
-            if let Action::Hold { callee, .. } = action {
+            if let Action::Poll { callee, .. } = action {
                 on_their_way.push(callee.worker);
             }
         }
@@ -540,7 +540,7 @@
         for worker in on_their_way.drain(..) {
             asked += 1;
             let outcome = CallOutcome::NoAnswer;
-            scheduler.take(Input::HoldFailed { worker, outcome }, now_ms);
+            scheduler.take(Input::PollFailed { worker, outcome }, now_ms);
         }
     }
     assert_eq!(most, PORTION);
@@ -560,7 +560,7 @@
     for _ in 0..12 {
         fleet.now_ms += PASS_MS;
         let confirmed_ms = fleet.now_ms - CONFIRMED_BEFORE_MS;
-        fleet.tell(Input::Confirmed(confirmed_ms));
+        fleet.tell(Input::EpochConfirmed(confirmed_ms));
         fleet.settle();
     }
     assert!(fleet.scheduler.has_authority());
@@ -610,7 +610,7 @@
         address: "shared:1".to_owned(),
         ..worker_info(name, "r1")
     };
-    let known = |name: &str, address: &str| Input::KnownWorker {
+    let known = |name: &str, address: &str| Input::RosterWorker {
         worker_name: name.to_owned(),
         address: address.to_owned(),
         closed_with: None,
@@ -621,16 +621,16 @@
         Input::Configure(Arc::new(configuration(64))),
         known("living", "shared:1"),
         known(OTHER, "other:1"),
-        Input::Worker(at_address("crashed")),
-        Input::Worker(at_address("living")),
-        Input::Worker(worker_info(OTHER, "r1")),
+        Input::WorkerRegistered(at_address("crashed")),
+        Input::WorkerRegistered(at_address("living")),
+        Input::WorkerRegistered(worker_info(OTHER, "r1")),
         Input::Job {
             id: JobId(1),
             record: Arc::new(job),
             progress: None,
         },
-        Input::Confirmed(BEGIN_MS),
-        Input::Recovered {
+        Input::EpochConfirmed(BEGIN_MS),
+        Input::StoredStateRead {
             earlier_owner_over: false,
         },
     ];
@@ -640,24 +640,24 @@
 
     let mut started = 0;
     for now_ms in (BEGIN_MS..BEGIN_MS + 3_000).step_by(10) {
-        scheduler.take(Input::Confirmed(now_ms), now_ms);
+        scheduler.take(Input::EpochConfirmed(now_ms), now_ms);
         for action in scheduler.decide(now_ms) {
             match action {
                 // Only the third worker answers.
-                Action::Hold { callee, .. } if &*callee.worker_name == OTHER => {
-                    let report = HoldReport {
+                Action::Poll { callee, .. } if &*callee.worker_name == OTHER => {
+                    let report = PollReport {
                         clock_ms: now_ms,
-                        ..HoldReport::default()
+                        ..PollReport::default()
                     };
-                    let input = Input::Held {
+                    let input = Input::PollAnswered {
                         worker: callee.worker,
                         sent_ms: now_ms,
                         report,
                     };
                     scheduler.take(input, now_ms);
                 }
-                Action::Hold { callee, .. } => {
-                    let input = Input::HoldFailed {
+                Action::Poll { callee, .. } => {
+                    let input = Input::PollFailed {
                         worker: callee.worker,
                         outcome: CallOutcome::NoAnswer,
                     };
@@ -711,7 +711,7 @@
     let mut answered = Vec::new();
     for now_ms in BEGIN_MS..BEGIN_MS + 200 {
         for action in scheduler.decide(now_ms) {
-            let Action::Hold {
+            let Action::Poll {
                 callee,
                 lease_end_ms,
                 ..
@@ -724,12 +724,12 @@
                 continue;
             }
             answered.push(callee.worker);
-            let input = Input::Held {
+            let input = Input::PollAnswered {
                 worker: callee.worker,
                 sent_ms: now_ms,
-                report: HoldReport {
+                report: PollReport {
                     clock_ms: now_ms,
-                    ..HoldReport::default()
+                    ..PollReport::default()
                 },
             };
             scheduler.take(input, now_ms);
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -201,7 +201,7 @@
     fleet.advance(300);
     fleet.late_start_ms = None;
     let on = fleet.starts[0].1.clone();
-    fleet.tell(Input::Worker(leaving_info(&on, 60_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info(&on, 60_000)));
     fleet.advance(1_000);
     let elsewhere = fleet.running();
     assert_eq!(elsewhere.len(), 1, "it was given up there");
@@ -228,7 +228,7 @@
         accelerators: 2,
         ..worker_info("w0", "r1").capacity
     };
-    fleet.tell(Input::Worker(WorkerInfo {
+    fleet.tell(Input::WorkerRegistered(WorkerInfo {
         incarnation_start_ms: Some(fleet.workers["w0"].incarnation_start_ms),
         capacity: two,
         ..worker_info("w0", "r1")
@@ -247,7 +247,7 @@
     fleet.advance(SETTLED_MS);
     let (on, run) = fleet.running()[0].clone();
 
-    fleet.tell(Input::Worker(WorkerInfo {
+    fleet.tell(Input::WorkerRegistered(WorkerInfo {
         incarnation_start_ms: Some(fleet.now_ms),
         ..worker_info(&on, "r1")
     }));
@@ -349,7 +349,7 @@
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
 
-    fleet.tell(Input::Worker(leaving_info("w0", 2_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info("w0", 2_000)));
     fleet.advance(SETTLED_MS);
     fleet.restart("w0");
     fleet.advance(2 * SETTLED_MS);
@@ -377,7 +377,7 @@
     fleet.advance(2 * SETTLED_MS);
 
     let polls = fleet.actions.iter().filter_map(|action| match action {
-        Action::Hold { last_seen, .. } => Some(*last_seen),
+        Action::Poll { last_seen, .. } => Some(*last_seen),
         _ => None,
     });
     let acknowledged: Vec<u64> = polls.collect();
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -17,9 +17,9 @@
 use fuchsiaslip::scheduler::{
     Action,
     EndKind,
-    HoldReport,
     Input,
     JobView,
+    PollReport,
     RunName,
     Schedule,
     StartRefusal,
@@ -75,7 +75,7 @@
     assert_eq!(fleet.highest_last_seen["w0"], 0, "the end is not durable");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::Stored { job, change });
+    fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(200);
     assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
@@ -179,7 +179,7 @@
         assert_eq!(fleet.running().len(), 1, "after {kind:?}");
     }
 
-    fleet.tell(Input::Cancelled(job));
+    fleet.tell(Input::JobCancelled(job));
     fleet.advance(50);
     assert!(fleet.running().is_empty());
     assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Cancelled));
@@ -232,12 +232,12 @@
     fleet.settle();
     let worker = fleet.scheduler.workers()[0].key;
 
-    fleet.tell(Input::Held {
+    fleet.tell(Input::PollAnswered {
         worker,
         sent_ms: fleet.now_ms,
-        report: HoldReport {
+        report: PollReport {
             clock_ms: fleet.now_ms,
-            ..HoldReport::default()
+            ..PollReport::default()
         },
     });
     fleet.settle();
@@ -306,7 +306,7 @@
     let (mut fleet, ..) = Fleet::with_job(2, record("plain", vec![long]));
     let before = fleet.running()[0].0.clone();
 
-    fleet.tell(Input::Worker(leaving_info(&before, 2_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info(&before, 2_000)));
     fleet.advance(400);
 
     let after = fleet.running();
@@ -381,7 +381,7 @@
     let looks = |fleet: &Fleet| {
         let holds = fleet.actions.iter();
         holds
-            .filter(|action| matches!(action, Action::Hold { .. }))
+            .filter(|action| matches!(action, Action::Poll { .. }))
             .count()
     };
     let before = looks(&fleet);
@@ -390,7 +390,7 @@
     assert_eq!(looks(&fleet), before, "no look while the end is stored");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::Stored { job, change });
+    fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(10);
     assert_eq!(looks(&fleet), before + 1, "one look tells that it is");
     assert_eq!(fleet.highest_last_seen["w0"], 1);
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -62,7 +62,7 @@
 
     fleet.advance(600);
 
-    assert_eq!(fleet.paces.first(), Some(&(fills, 0)));
+    assert_eq!(fleet.throttles.first(), Some(&(fills, 0)));
     assert!(fleet.stops.is_empty(), "it goes on later");
 }
 
@@ -71,13 +71,17 @@
     let (mut fleet, serves, fills) = shared_worker();
     fleet.usage.insert(serves, 130.0);
     fleet.advance(600);
-    fleet.paces.clear();
+    fleet.throttles.clear();
     fleet.usage.insert(serves, 20.0);
 
     fleet.advance(3_000);
 
-    let percents: Vec<u32> = fleet.paces.iter().map(|(_, percent)| *percent).collect();
-    assert!(fleet.paces.iter().all(|(name, _)| *name == fills));
+    let percents: Vec<u32> = fleet
+        .throttles
+        .iter()
+        .map(|(_, percent)| *percent)
+        .collect();
+    assert!(fleet.throttles.iter().all(|(name, _)| *name == fills));
     assert!(
         percents.windows(2).all(|pair| pair[0] < pair[1]),
         "{percents:?}"
@@ -91,13 +95,13 @@
     let (mut fleet, serves, fills) = shared_worker();
     fleet.usage.insert(serves, 90.0);
     fleet.advance(130);
-    assert_eq!(fleet.paces.first(), Some(&(fills, 50)));
+    assert_eq!(fleet.throttles.first(), Some(&(fills, 50)));
 
     fleet.usage.insert(serves, 70.0);
     fleet.advance(300);
-    fleet.paces.clear();
+    fleet.throttles.clear();
     fleet.advance(2_000);
-    assert!(fleet.paces.is_empty(), "{:?}", fleet.paces);
+    assert!(fleet.throttles.is_empty(), "{:?}", fleet.throttles);
 }
 
 #[test]
@@ -150,7 +154,7 @@
 fn advise(fleet: &mut Fleet, step: GroupKey, approved: Option<&str>) {
     let asked = questions(fleet).last().cloned().unwrap_or_default();
     let rows = approved.map(|name| vec![(name.to_owned(), Arc::from("ticket"))]);
-    fleet.tell(Input::Advised {
+    fleet.tell(Input::AdviceResult {
         step,
         asked,
         approved: rows,
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -14,12 +14,12 @@
     EndKind,
     EndedRow,
     GroupKey,
-    HoldReport,
     Input,
     JobRecord,
     JobSpec,
     MachineInfo,
     MachineState,
+    PollReport,
     ProgressRecord,
     Queue,
     Resources,
@@ -146,8 +146,8 @@
     pub loses_starts: bool,
     /// What workers say of the use of runs.
     pub usage: HashMap<RunName, f64>,
-    /// Every pace that was set.
-    pub paces: Vec<(RunName, u32)>,
+    /// Every throttle order, with its percentage.
+    pub throttles: Vec<(RunName, u32)>,
     /// Rack and data centre of workers that are not in the usual ones.
     pub places: HashMap<String, (String, String)>,
     /// The platform's machines, each with its worker.
@@ -174,12 +174,12 @@
     pub crashed: Vec<(RunName, String, u64)>,
     /// Crashes, returns and removals of entries that are to come.
     to_come: Vec<(u64, String, Change)>,
-    looks: Vec<Look>,
+    polls: Vec<PendingPoll>,
 }
 
 /// A look that waits for its answer.
 #[derive(Clone, Debug)]
-struct Look {
+struct PendingPoll {
     worker: WorkerKey,
     name: String,
     /// Of the incarnation that it reached, if any was there.
@@ -347,7 +347,7 @@
         for at in 0..count {
             fleet.add_worker(&format!("w{at}"), "r1");
         }
-        fleet.tell(Input::Recovered {
+        fleet.tell(Input::StoredStateRead {
             earlier_owner_over: true,
         });
         fleet.advance(WARM_UP_MS);
@@ -389,7 +389,7 @@
             names.sort();
             for name in names {
                 next.tell(self.known_worker(name));
-                next.tell(Input::Worker(next.placed_info(name, "r1")));
+                next.tell(Input::WorkerRegistered(next.placed_info(name, "r1")));
             }
             for (name, _) in self.scheduler.roster() {
                 if !self.workers.contains_key(&name) {
@@ -408,7 +408,7 @@
 
     /// What the store says of a worker on the roster.
     fn known_worker(&self, name: &str) -> Input {
-        Input::KnownWorker {
+        Input::RosterWorker {
             worker_name: name.to_owned(),
             address: address_of(name),
             closed_with: self.closed.get(name).cloned().flatten(),
@@ -453,7 +453,7 @@
         next.closed = self.closed.clone();
         next.forgotten = self.forgotten.clone();
         tell(&mut next);
-        next.tell(Input::Recovered { earlier_owner_over });
+        next.tell(Input::StoredStateRead { earlier_owner_over });
         next
     }
 
@@ -480,7 +480,7 @@
             refusal: None,
             loses_starts: false,
             usage: HashMap::new(),
-            paces: Vec::new(),
+            throttles: Vec::new(),
             places: HashMap::new(),
             machines: BTreeMap::new(),
             upkeeps: Vec::new(),
@@ -494,7 +494,7 @@
             overlaps: Vec::new(),
             crashed: Vec::new(),
             to_come: Vec::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
         }
     }
 
@@ -503,7 +503,7 @@
         let now_ms = self.now_ms;
         let worker = self.workers.entry(name.to_owned());
         worker.or_insert_with(|| FakeWorker::born_at(now_ms));
-        self.tell(Input::Worker(self.placed_info(name, rack)));
+        self.tell(Input::WorkerRegistered(self.placed_info(name, rack)));
     }
 
     /// Registers a worker in a data centre.
@@ -708,7 +708,7 @@
         let until_ms = self.now_ms + by_ms;
         while self.now_ms < until_ms {
             self.now_ms = (self.now_ms + STEP_MS).min(until_ms);
-            self.tell(Input::Confirmed(self.now_ms));
+            self.tell(Input::EpochConfirmed(self.now_ms));
             if self.follows_jobs {
                 let sent_ms = self.now_ms;
                 self.tell(Input::JobsRead { sent_ms });
@@ -733,7 +733,7 @@
                 self.actions.push(action.clone());
                 self.carry_out(action);
             }
-            if idle && !self.answer_looks() {
+            if idle && !self.answer_polls() {
                 return;
             }
         }
@@ -768,7 +768,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Hold {
+            Action::Poll {
                 callee,
                 last_seen,
                 lease_end_ms,
@@ -777,7 +777,7 @@
                 let name = callee.worker_name.to_string();
                 if *callee.address != *address_of(&name) || self.is_replaced(&name) {
                     // Whoever is there is another.
-                    self.tell(Input::HoldFailed {
+                    self.tell(Input::PollFailed {
                         worker: callee.worker,
                         outcome: CallOutcome::OtherIncarnation,
                     });
@@ -790,7 +790,7 @@
                 if let Some(fake) = self.workers.get_mut(&name) {
                     fake.hold_until(lease_end_ms.unwrap_or(0), now_ms);
                 }
-                self.looks.push(Look {
+                self.polls.push(PendingPoll {
                     worker: callee.worker,
                     incarnation_start_ms: self
                         .workers
@@ -826,7 +826,7 @@
                     }
                     (false, _) => CallOutcome::OtherIncarnation,
                 };
-                self.tell(Input::StartOver {
+                self.tell(Input::StartResult {
                     worker: callee.worker,
                     name,
                     outcome,
@@ -851,42 +851,42 @@
                     (true, true) => CallOutcome::NoAnswer,
                     (true, false) => CallOutcome::Done,
                 };
-                self.tell(Input::StopOver {
+                self.tell(Input::StopResult {
                     worker: callee.worker,
                     name,
                     outcome,
                 });
             }
-            Action::Store { job } if self.holds_progress => {
+            Action::StoreProgress { job } if self.holds_progress => {
                 if let Some(progress) = self.scheduler.progress(job) {
                     self.pending.insert(job, progress);
                 }
             }
-            Action::Store { job } if self.store_answers => {
+            Action::StoreProgress { job } if self.store_answers => {
                 if let Some((change, progress)) = self.scheduler.progress(job) {
                     self.stored.insert(job, (change, progress));
-                    self.tell(Input::Stored { job, change });
+                    self.tell(Input::ProgressStored { job, change });
                 }
             }
-            Action::StoreClosed { worker } if self.store_answers => {
+            Action::StoreClosedWorker { worker } if self.store_answers => {
                 let row = self.scheduler.closed_row(worker);
                 let info = &self.scheduler.workers()[worker.index()].info;
                 let worker_name = info.worker_name.clone();
                 let closed = row.as_ref().is_some_and(|(closed, _)| *closed);
                 let runs = row.and_then(|(closed, runs)| closed.then_some(runs));
                 self.closed.insert(worker_name.clone(), runs);
-                self.tell(Input::ClosedStored {
+                self.tell(Input::ClosedWorkerStored {
                     worker_name,
                     closed,
                 });
             }
-            Action::Pace {
+            Action::Throttle {
                 callee,
                 name,
                 percent,
             } => {
-                self.paces.push((name, percent));
-                self.tell(Input::PaceOver {
+                self.throttles.push((name, percent));
+                self.tell(Input::ThrottleResult {
                     worker: callee.worker,
                     name,
                     outcome: CallOutcome::Done,
@@ -902,7 +902,7 @@
                     worker_name: Some(machine.worker.clone()).filter(|name| !name.is_empty()),
                 });
                 let machines = Some(rows.collect());
-                self.tell(Input::Machines {
+                self.tell(Input::MachineList {
                     sent_ms: self.now_ms,
                     machines,
                 });
@@ -913,16 +913,16 @@
                     true => UpkeepOutcome::Begun,
                     false => UpkeepOutcome::NoAnswer,
                 };
-                self.tell(Input::UpkeepOver {
+                self.tell(Input::UpkeepResult {
                     wave,
                     machine,
                     outcome,
                 });
             }
-            Action::Forget { job } if self.store_answers => {
+            Action::DeleteJob { job } if self.store_answers => {
                 self.stored.remove(&job);
                 self.forgotten.insert(job);
-                self.tell(Input::Forgotten(job));
+                self.tell(Input::JobDeleted(job));
             }
             Action::StoreRoster if self.store_answers => {
                 let names = self.scheduler.roster().into_iter().map(|(name, _)| name);
@@ -941,7 +941,7 @@
         self.stored.insert(job, (change, progress));
         if answered {
             self.pending.remove(&job);
-            self.tell(Input::Stored { job, change });
+            self.tell(Input::ProgressStored { job, change });
         }
     }
 
@@ -989,23 +989,23 @@
         CallOutcome::Done
     }
 
-    fn answer_looks(&mut self) -> bool {
-        let looks = std::mem::take(&mut self.looks);
+    fn answer_polls(&mut self) -> bool {
+        let polls = std::mem::take(&mut self.polls);
         let mut answered = false;
-        for look in looks {
-            let Look {
+        for poll in polls {
+            let PendingPoll {
                 worker,
                 ref name,
                 incarnation_start_ms,
                 sent_ms,
                 last_seen,
-            } = look;
+            } = poll;
             // A look does not outlive the incarnation that it reached.
             let there = self.workers.get(name).map(|fake| fake.incarnation_start_ms);
             let silent =
                 self.silent.contains(name) || there.is_none() || there != incarnation_start_ms;
             if silent {
-                self.tell(Input::HoldFailed {
+                self.tell(Input::PollFailed {
                     worker,
                     outcome: CallOutcome::NoAnswer,
                 });
@@ -1016,12 +1016,12 @@
             fake.ended.retain(|row| row.number > last_seen);
             // A look waits for news: it is answered at once only if there is
             // an end, and after a while otherwise.
-            const LOOK_WAIT_MS: u64 = 100;
-            if fake.ended.is_empty() && self.now_ms < sent_ms + LOOK_WAIT_MS {
-                self.looks.push(look);
+            const POLL_WAIT_MS: u64 = 100;
+            if fake.ended.is_empty() && self.now_ms < sent_ms + POLL_WAIT_MS {
+                self.polls.push(poll);
                 continue;
             }
-            let report = HoldReport {
+            let report = PollReport {
                 clock_ms: fake.clock_ms(self.now_ms),
                 incarnation_start_ms: Some(fake.incarnation_start_ms),
                 running: fake
@@ -1037,7 +1037,7 @@
                 ended: fake.ended.clone(),
             };
             answered = true;
-            self.tell(Input::Held {
+            self.tell(Input::PollAnswered {
                 worker,
                 sent_ms,
                 report,
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -29,7 +29,7 @@
     JobRecord,
     JobSpec,
     JobView,
-    OrderRule,
+    OrderingPolicy,
     Queue,
     Resources,
     Scheduler,
@@ -119,7 +119,7 @@
     random: StdRng,
     workers: Vec<SimWorker>,
     jobs: BTreeMap<JobId, SimJob>,
-    looks: Vec<(WorkerKey, u64, u64)>,
+    polls: Vec<(WorkerKey, u64, u64)>,
     stores: Vec<(u64, JobId, u64)>,
     thrown_away_core_s: f64,
     twice: usize,
@@ -135,7 +135,7 @@
 }
 
 /// Replays a load with the given rule of order.
-pub fn replay(load: &Load, order: OrderRule, seed: u64) -> Figures {
+pub fn replay(load: &Load, order: OrderingPolicy, seed: u64) -> Figures {
     let mut replay = Replay::begin(load, order, seed);
     if load.emptied_ms > 0 {
         replay.order = worst_moment(load, seed).map(Order::at);
@@ -156,7 +156,7 @@
 /// Replays the first `until_ms` of a load, and times its decisions from half of that
 /// time on.
 pub fn decision_times(load: &Load, seed: u64, until_ms: u64) -> DecisionTimes {
-    let mut replay = Replay::begin(load, OrderRule::Worth, seed);
+    let mut replay = Replay::begin(load, OrderingPolicy::Worth, seed);
     replay.play_to(load, until_ms / 2, |_, _| {});
     replay.decisions = Some(Vec::new());
     replay.play_to(load, until_ms, |_, _| {});
@@ -222,7 +222,7 @@
         }
     }
 
-    fn begin(load: &Load, order: OrderRule, seed: u64) -> Self {
+    fn begin(load: &Load, order: OrderingPolicy, seed: u64) -> Self {
         let site = load.site;
         let tuning = Tuning {
             order,
@@ -240,7 +240,7 @@
             random: StdRng::seed_from_u64(seed),
             workers: vec![SimWorker::default(); site.workers],
             jobs: BTreeMap::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             stores: Vec::new(),
             thrown_away_core_s: 0.0,
             twice: 0,
@@ -253,9 +253,9 @@
         };
         replay.tell(Input::Configure(Arc::new(configuration(site))));
         for at in 0..site.workers {
-            replay.tell(Input::Worker(worker_info(site, at)));
+            replay.tell(Input::WorkerRegistered(worker_info(site, at)));
         }
-        replay.tell(Input::Recovered {
+        replay.tell(Input::StoredStateRead {
             earlier_owner_over: true,
         });
         replay.draw_jobs(load);
@@ -382,7 +382,7 @@
         for id in open {
             if self.random.random_range(0.0..1.0) < share {
                 self.jobs.remove(&id);
-                self.tell(Input::Cancelled(id));
+                self.tell(Input::JobCancelled(id));
             }
         }
     }
@@ -405,7 +405,7 @@
 
     fn tick(&mut self) {
         if !self.silent_ms.contains(&self.now_ms) {
-            self.tell(Input::Confirmed(self.now_ms));
+            self.tell(Input::EpochConfirmed(self.now_ms));
         }
         let now_ms = self.now_ms;
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.stores)
@@ -413,13 +413,13 @@
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
         self.stores = later;
         for (_, job, change) in due {
-            self.tell(Input::Stored { job, change });
+            self.tell(Input::ProgressStored { job, change });
         }
         for at in 0..self.site.workers {
             self.end_runs(at);
         }
         for _ in 0..4 {
-            let answered = self.answer_looks();
+            let answered = self.answer_polls();
             let actions = self.decide();
             let idle = actions.is_empty();
             for action in actions {
--- a/tests/support/replay/emptying.rs
+++ b/tests/support/replay/emptying.rs
@@ -13,7 +13,7 @@
 use fuchsiaslip::scheduler::{
     EmptyingOrder,
     Input,
-    OrderRule, //
+    OrderingPolicy, //
 };
 use std::ops::Range;
 
@@ -109,7 +109,7 @@
 /// of the load without an order. The same for every rule of order, so that the
 /// figures of the rules compare.
 pub fn worst_moment(load: &Load, seed: u64) -> Option<Moment> {
-    let mut replay = Replay::begin(load, OrderRule::Worth, seed);
+    let mut replay = Replay::begin(load, OrderingPolicy::Worth, seed);
     let mut worst: Option<Moment> = None;
     replay.play(load, |replay, since_ms| {
         if !moments_ms().contains(&since_ms) {
@@ -177,7 +177,7 @@
     }
 
     fn tell_orders(&mut self, orders: Vec<EmptyingOrder>) {
-        self.tell(Input::Emptying {
+        self.tell(Input::EmptyingOrdersRead {
             orders,
             checked_ms: self.now_ms,
         });
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -7,8 +7,8 @@
     CallOutcome,
     EndKind,
     EndedRow,
-    HoldReport,
     Input,
+    PollReport,
     Resources,
     RunName,
     RunningRow,
@@ -23,7 +23,7 @@
 
 /// Time of a commit.
 const COMMIT_MS: u64 = 20;
-const LOOK_WAIT_MS: u64 = 1_000;
+const POLL_WAIT_MS: u64 = 1_000;
 pub const REMOTE_FACTOR: f64 = 3.0;
 
 #[derive(Clone, Debug)]
@@ -133,15 +133,15 @@
         });
     }
 
-    pub(super) fn answer_looks(&mut self) -> bool {
+    pub(super) fn answer_polls(&mut self) -> bool {
         let now_ms = self.now_ms;
-        let looks = std::mem::take(&mut self.looks);
+        let polls = std::mem::take(&mut self.polls);
         let mut answered = false;
-        for (key, sent_ms, last_seen) in looks {
+        for (key, sent_ms, last_seen) in polls {
             let worker = &mut self.workers[key.index()];
             worker.ended.retain(|row| row.number > last_seen);
-            if worker.ended.is_empty() && now_ms < sent_ms + LOOK_WAIT_MS {
-                self.looks.push((key, sent_ms, last_seen));
+            if worker.ended.is_empty() && now_ms < sent_ms + POLL_WAIT_MS {
+                self.polls.push((key, sent_ms, last_seen));
                 continue;
             }
             let running = worker.running.iter().map(|(&name, run)| {
@@ -154,14 +154,14 @@
                     usage: None,
                 }
             });
-            let report = HoldReport {
+            let report = PollReport {
                 clock_ms: now_ms,
                 incarnation_start_ms: None,
                 running: running.collect(),
                 ended: worker.ended.clone(),
             };
             answered = true;
-            self.tell(Input::Held {
+            self.tell(Input::PollAnswered {
                 worker: key,
                 sent_ms,
                 report,
@@ -172,9 +172,9 @@
 
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Hold {
+            Action::Poll {
                 callee, last_seen, ..
-            } => self.looks.push((callee.worker, self.now_ms, last_seen)),
+            } => self.polls.push((callee.worker, self.now_ms, last_seen)),
             Action::Start {
                 callee,
                 name,
@@ -183,7 +183,7 @@
             } => {
                 let saved_ms = checkpoint.and_then(|text| text.parse().ok()).unwrap_or(0);
                 let outcome = self.start(callee.worker.index(), name, saved_ms);
-                self.tell(Input::StartOver {
+                self.tell(Input::StartResult {
                     worker: callee.worker,
                     name,
                     outcome,
@@ -196,13 +196,13 @@
                 if let Some(run) = worker.running.get_mut(&name) {
                     run.stops_ms = Some(at_ms);
                 }
-                self.tell(Input::StopOver {
+                self.tell(Input::StopResult {
                     worker: callee.worker,
                     name,
                     outcome: CallOutcome::Done,
                 });
             }
-            Action::Store { job } => {
+            Action::StoreProgress { job } => {
                 if let Some((change, _)) = self.scheduler.progress(job) {
                     self.stores
                         .push((self.store_answers_ms() + COMMIT_MS, job, change));
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -254,7 +254,7 @@
             return;
         };
         self.cancelled.insert(job);
-        self.fleet.tell(Input::Cancelled(job));
+        self.fleet.tell(Input::JobCancelled(job));
     }
 
     fn worker_names(&self) -> Vec<String> {
@@ -297,7 +297,7 @@
         next.holds_progress = true;
         next.follows_jobs = self.untold.is_empty();
         for &job in &self.cancelled {
-            next.tell(Input::Cancelled(job));
+            next.tell(Input::JobCancelled(job));
         }
         self.fleet = next;
         (self.checked_ends, self.checked_starts) = (0, 0);
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -304,7 +304,7 @@
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(50);
 
-    next.tell(Input::Worker(leaving_info(&there, 100)));
+    next.tell(Input::WorkerRegistered(leaving_info(&there, 100)));
     next.advance(300);
 
     assert_eq!(next.running().len(), 1, "stops {:?}", next.stops);
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -29,7 +29,7 @@
 }
 
 fn wave(machines: &[&str], duration_ms: u64, cap: u32) -> Input {
-    Input::Wave(WaveOrder {
+    Input::UpkeepWave(WaveOrder {
         number: 1,
         machines: machines.iter().map(|name| (*name).to_owned()).collect(),
         duration_ms,
@@ -38,7 +38,7 @@
 }
 
 fn noted(fleet: &Fleet, completed: bool) -> bool {
-    let wanted = Action::StoreWave { wave: 1, completed };
+    let wanted = Action::StoreWaveState { wave: 1, completed };
     fleet.actions.contains(&wanted)
 }
 
