--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -10,9 +10,9 @@
 mod operator;
 
 use fuchsiaslip::cluster::{
+    InvalidValueReporter, //
     StoredItem,
     StoredKind,
-    UnusedValues, //
 };
 use fuchsiaslip::platform::{
     HttpClient,
@@ -87,7 +87,7 @@
 /// told, and the scheduler takes it in.
 fn decode(items: &[StoredItem]) -> f64 {
     let mut scheduler = Scheduler::new(1, Tuning::default(), NOW_MS);
-    let mut unused = UnusedValues::default();
+    let mut unused = InvalidValueReporter::default();
     let began = Instant::now();
     for item in items {
         let worker_name = item.key.strip_prefix(WORKERS_PREFIX).unwrap_or_default();
@@ -102,7 +102,7 @@
                 }
             }
         };
-        scheduler.take(input, NOW_MS);
+        scheduler.handle(input, NOW_MS);
     }
     elapsed_ms(began)
 }
--- a/src/cluster/actions.rs
+++ b/src/cluster/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the scheduler decides.
+//! Carries out the scheduler's actions.
 
 use super::control::Output;
 use super::log_lines;
@@ -109,7 +109,7 @@
             | Action::StoreClosedWorker { .. } => {}
         }
     }
-    node.ledger.add(Changes {
+    node.pending_writes.add(Changes {
         progress: output.records,
         roster: output.roster,
         closed: output.closed,
@@ -156,7 +156,7 @@
         },
         Err(outcome) => Input::PollFailed { worker, outcome },
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 async fn start(node: Rc<Node>, epoch: u64, callee: Callee, order: StartOrder) {
@@ -180,7 +180,7 @@
         name: order.name,
         outcome,
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 async fn stop(node: Rc<Node>, epoch: u64, callee: Callee, name: RunName) {
@@ -194,7 +194,7 @@
         name,
         outcome,
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 async fn throttle(node: Rc<Node>, epoch: u64, callee: Callee, name: RunName, percent: u32) {
@@ -208,7 +208,7 @@
         name,
         outcome,
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 /// Reads the list of machines. An installation that shows none has no waves,
@@ -223,7 +223,7 @@
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "machines_unread").increment(1);
     }
     let input = Input::MachineList { sent_ms, machines };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 async fn begin_upkeep(node: Rc<Node>, epoch: u64, wave: u64, machine: String) {
@@ -236,7 +236,7 @@
         machine,
         outcome,
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
 
 fn note_order(node: &Node, order: &'static str, sent_ms: u64, outcome: CallOutcome) {
@@ -270,5 +270,5 @@
         asked: workers.iter().map(|(worker, _)| *worker).collect(),
         approved,
     };
-    node.control.take(epoch, input);
+    node.control.send_input(epoch, input);
 }
--- a/src/cluster/client_requests.rs
+++ b/src/cluster/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests.
+//! Serves clients' requests.
 
 use super::log_lines::{
     self,
@@ -8,7 +8,7 @@
 use super::records::job_id;
 use super::submit::{
     self,
-    Stored, //
+    StorageOutcome, //
 };
 use crate::platform::{
     READINESS_PATH,
@@ -212,7 +212,7 @@
         }
         Method::GET => {
             let job = job_id(&asked.name).ok_or(Refusal::NoSuchJob)?;
-            let view = submit::view(node, job, asked.until_ms).await;
+            let view = submit::job_status(node, job, asked.until_ms).await;
             let view = view.ok_or(Refusal::NobodyAnswers)?;
             let view = view.ok_or(Refusal::NoSuchJob)?;
             Ok((StatusCode::OK, encode_state(view)))
@@ -220,10 +220,10 @@
         Method::DELETE => {
             let job = job_id(&asked.name).ok_or(Refusal::NoSuchJob)?;
             match submit::cancel(node, job, asked.until_ms).await {
-                Stored::Done => Ok((StatusCode::OK, b"{}".to_vec())),
-                Stored::NoSuchJob => Err(Refusal::NoSuchJob),
-                Stored::Refused => Err(Refusal::StoreRefuses),
-                Stored::Unknown => Err(Refusal::OutcomeUnknown),
+                StorageOutcome::Done => Ok((StatusCode::OK, b"{}".to_vec())),
+                StorageOutcome::NoSuchJob => Err(Refusal::NoSuchJob),
+                StorageOutcome::Refused => Err(Refusal::StoreRefuses),
+                StorageOutcome::Unknown => Err(Refusal::OutcomeUnknown),
             }
         }
         _ => Err(Refusal::NoSuchMethod),
@@ -282,8 +282,8 @@
         spec,
     };
     match submit::accept(node, job, record, asked.until_ms).await {
-        Stored::Done => Ok((StatusCode::OK, b"{}".to_vec())),
-        Stored::Refused => Err(Refusal::StoreRefuses),
-        Stored::Unknown | Stored::NoSuchJob => Err(Refusal::OutcomeUnknown),
+        StorageOutcome::Done => Ok((StatusCode::OK, b"{}".to_vec())),
+        StorageOutcome::Refused => Err(Refusal::StoreRefuses),
+        StorageOutcome::Unknown | StorageOutcome::NoSuchJob => Err(Refusal::OutcomeUnknown),
     }
 }
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -3,7 +3,7 @@
 use super::node::Node;
 use super::pending_writes::Batch;
 use super::store_types::{
-    Committed,
+    CommitResult,
     StoreError, //
 };
 use crate::scheduler::Input;
@@ -18,34 +18,38 @@
 /// Commits what waits, for as long as this daemon owns under `epoch`.
 pub async fn run(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
-        let Some(batch) = node.ledger.batch(node.root_revision()) else {
-            node.ledger.changed().await;
+        let Some(batch) = node.pending_writes.batch(node.root_revision()) else {
+            node.pending_writes.changed().await;
             node.timer.after(GATHER_MS).await;
             continue;
         };
         let sent_ms = node.now_ms();
         let commit = node.store.commit(&batch.transaction);
-        let outcome = node.asking_store(commit).await;
+        let outcome = node.call_store(commit).await;
         if node.epoch() != epoch {
             return;
         }
         let took_ms = (node.now_ms() - sent_ms) as f64;
         metrics::histogram!("fuchsiaslip_commit_ms").record(took_ms);
         match outcome {
-            Ok(Committed::Done { revision }) => {
-                node.ledger.committed(&batch, revision);
-                node.control.take(epoch, Input::EpochConfirmed(sent_ms));
+            Ok(CommitResult::Done { revision }) => {
+                node.pending_writes.committed(&batch, revision);
+                node.control
+                    .send_input(epoch, Input::EpochConfirmed(sent_ms));
                 tell_stored(&node, epoch, batch);
                 node.timer.after(GATHER_MS).await;
             }
-            Ok(Committed::Conflict(items)) => {
-                if !node.ledger.conflicted(&batch, &items, node.root_revision()) {
+            Ok(CommitResult::Conflict(items)) => {
+                if !node
+                    .pending_writes
+                    .conflicted(&batch, &items, node.root_revision())
+                {
                     node.stop_owning("commit_conflict");
                     return;
                 }
                 count_retry("commit_conflict");
             }
-            Ok(Committed::LeaseOver) => {}
+            Ok(CommitResult::LeaseOver) => {}
             Err(error) => {
                 count_retry(match error {
                     StoreError::Refused => "store_refused",
@@ -61,7 +65,7 @@
 fn tell_stored(node: &Node, epoch: u64, batch: Batch) {
     for (job, change) in batch.progress {
         node.control
-            .take(epoch, Input::ProgressStored { job, change });
+            .send_input(epoch, Input::ProgressStored { job, change });
     }
     for (worker_name, record) in batch.closed {
         if let Some(closed) = record.map(|record| record.closed) {
@@ -69,14 +73,14 @@
                 worker_name,
                 closed,
             };
-            node.control.take(epoch, input);
+            node.control.send_input(epoch, input);
         }
     }
     for job in batch.forgotten {
-        node.control.take(epoch, Input::JobDeleted(job));
+        node.control.send_input(epoch, Input::JobDeleted(job));
     }
     if let Some(workers) = batch.roster {
-        node.control.take(epoch, Input::RosterStored(workers));
+        node.control.send_input(epoch, Input::RosterStored(workers));
     }
 }
 
--- a/src/cluster/control.rs
+++ b/src/cluster/control.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::{
     Action,
     Input,
-    JobView,
+    JobStatus,
     ProgressRecord,
     Scheduler,
     Sizes,
@@ -47,20 +47,20 @@
         /// What was stored.
         stored: Vec<Input>,
     },
-    /// News under an epoch.
-    Take {
+    /// An input for the scheduler of an epoch.
+    Input {
         /// The epoch.
         epoch: u64,
-        /// The news.
+        /// The input.
         input: Input,
     },
-    /// What may be told of a job; `None` when this daemon does not own, inside
-    /// it `None` when the job is not known.
-    View {
+    /// The status of a job; `None` when this daemon does not own, inside it `None`
+    /// when the job is not known.
+    JobStatus {
         /// The job.
         job: JobId,
         /// Where the answer goes.
-        answer: oneshot::Sender<Option<Option<JobView>>>,
+        answer: oneshot::Sender<Option<Option<JobStatus>>>,
     },
     /// Jobs of a queue that wait; `None` when this daemon does not own.
     Pending {
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Tells news.
-    pub fn take(&self, epoch: u64, input: Input) {
-        self.send(Command::Take { epoch, input });
+    /// Passes an input to the scheduler of an epoch.
+    pub fn send_input(&self, epoch: u64, input: Input) {
+        self.send(Command::Input { epoch, input });
     }
 
-    /// What may be told of a job.
-    pub async fn view(&self, job: JobId) -> Option<Option<JobView>> {
+    /// The status of a job.
+    pub async fn job_status(&self, job: JobId) -> Option<Option<JobStatus>> {
         let (answer, answered) = oneshot::channel();
-        self.send(Command::View { job, answer });
+        self.send(Command::JobStatus { job, answer });
         answered.await.ok().flatten()
     }
 
@@ -197,20 +197,20 @@
         } => {
             let mut begun = Scheduler::new(epoch, tuning, now_ms);
             for input in stored {
-                begun.take(input, now_ms);
+                begun.handle(input, now_ms);
             }
             *scheduler = Some(begun);
         }
-        Command::Take { epoch, input } => {
+        Command::Input { epoch, input } => {
             let own = scheduler.as_mut().filter(|own| own.epoch() == epoch);
             if let Some(scheduler) = own {
-                scheduler.take(input, now_ms);
+                scheduler.handle(input, now_ms);
             }
         }
         // A caller that has left needs no answer.
-        Command::View { job, answer } => {
-            let view = scheduler.as_ref().map(|own| own.job_view(job));
-            answer.send(view).ok();
+        Command::JobStatus { job, answer } => {
+            let job_status = scheduler.as_ref().map(|own| own.job_status(job));
+            answer.send(job_status).ok();
         }
         Command::Pending { queue, answer } => {
             let pending = scheduler.as_ref().map(|own| own.pending(&queue) as u64);
--- a/src/cluster/election.rs
+++ b/src/cluster/election.rs
@@ -54,15 +54,15 @@
 pub struct Candidate {
     /// Its name.
     pub name: String,
-    /// What it can do: milli-cores of its VM; larger is better.
-    pub strength: u64,
+    /// Milli-cores of its VM; the larger one is the better candidate.
+    pub cpu_millis: u64,
     /// It reaches the store and does not drain.
-    pub fit: bool,
+    pub eligible: bool,
 }
 
-/// The last sign of the owner.
+/// What a daemon knows of the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OwnerSign {
+pub struct OwnerStatus {
     /// Its name.
     pub name: String,
     /// When it was heard, or when this daemon began to listen for it.
@@ -70,7 +70,7 @@
     /// When this daemon learned that it owns.
     pub since_ms: u64,
     /// Since when it says that it has lost the store.
-    pub storeless_since_ms: Option<u64>,
+    pub store_lost_since_ms: Option<u64>,
     /// It is draining.
     pub draining: bool,
     /// Its process has ended: its daemon has another life now.
@@ -85,13 +85,13 @@
     /// When it started.
     pub started_ms: u64,
     /// When it found the store again after it had lost it; 0 for never lost.
-    pub store_back_ms: u64,
+    pub store_recovered_ms: u64,
     /// The others that it hears now.
     pub heard: Vec<Candidate>,
     /// Others that the store lists.
     pub listed: usize,
     /// The owner that is known, if there is one.
-    pub owner: Option<OwnerSign>,
+    pub owner: Option<OwnerStatus>,
 }
 
 /// When to take over, and why.
@@ -104,7 +104,7 @@
 }
 
 /// How long an owner may be silent.
-fn silence_ms(sign: &OwnerSign, listed: usize) -> u64 {
+fn silence_ms(sign: &OwnerStatus, listed: usize) -> u64 {
     let young = sign.heard_ms < sign.since_ms + YOUNG_MS;
     let size_ms = listed.saturating_sub(SMALL_FLEET) as u64 * SILENT_PER_DAEMON_MS;
     SILENT_MS + if young { 2 * size_ms } else { size_ms }
@@ -112,16 +112,16 @@
 
 /// When to take over, if nothing changes; `None` for not at all.
 pub fn takeover(view: &ElectionView) -> Option<Takeover> {
-    if !view.own.fit {
+    if !view.own.eligible {
         return None;
     }
     // The owner itself is no rival: it was the first candidate, and is heard
     // for a while after it fell silent.
     let owner = view.owner.as_ref().map(|sign| sign.name.as_str());
     let better = |other: &&Candidate| {
-        other.fit
+        other.eligible
             && Some(other.name.as_str()) != owner
-            && (other.strength, &view.own.name) > (view.own.strength, &other.name)
+            && (other.cpu_millis, &view.own.name) > (view.own.cpu_millis, &other.name)
     };
     let rank = view.heard.iter().filter(better).count() as u64;
     let (from_ms, reason) = match &view.owner {
@@ -131,8 +131,8 @@
         Some(sign) => {
             let silent_ms = sign.heard_ms + silence_ms(sign, view.listed);
             let storeless_ms = sign
-                .storeless_since_ms
-                .map(|since_ms| since_ms.max(view.store_back_ms) + STORELESS_MS);
+                .store_lost_since_ms
+                .map(|since_ms| since_ms.max(view.store_recovered_ms) + STORELESS_MS);
             match storeless_ms.filter(|&storeless_ms| storeless_ms < silent_ms) {
                 Some(storeless_ms) => (storeless_ms, "owner_without_store"),
                 None => (silent_ms, "owner_silent"),
--- a/src/cluster/emptying.rs
+++ b/src/cluster/emptying.rs
@@ -6,14 +6,14 @@
 //! older than what is known changes nothing.
 
 use super::invalid_values::{
+    InvalidReason, //
     StoredKind,
-    Unused, //
 };
 use super::node::Node;
 use super::store_types::{
-    Range,
     StoreEvent,
     StoredItem, //
+    StoredRange,
 };
 use crate::events;
 use crate::platform::emptied_data_centre;
@@ -105,7 +105,7 @@
 }
 
 /// Takes in the operators' values as they were listed.
-pub fn take_list(node: &Node, range: &Range, asked_ms: u64) {
+pub fn take_list(node: &Node, range: &StoredRange, asked_ms: u64) {
     tell_of_nameless(node, range.items.iter());
     let rows = range.items.iter().filter(|item| is_order(&item.key));
     let rows = rows.map(|item| (item.key.as_str(), item.revision));
@@ -131,7 +131,11 @@
 fn tell_of_nameless<'a>(node: &Node, items: impl Iterator<Item = &'a StoredItem>) {
     let nameless = |item: &&StoredItem| emptied_data_centre(&item.key).is_none();
     for item in items.filter(|item| is_order(&item.key)).filter(nameless) {
-        node.note_unused(StoredKind::Emptying, item, &Unused::because("bad_name"));
+        node.report_invalid(
+            StoredKind::Emptying,
+            item,
+            &InvalidReason::because("bad_name"),
+        );
     }
 }
 
@@ -149,7 +153,7 @@
         metrics::gauge!("fuchsiaslip_emptied_data_centres").set(count);
     }
     if node.owns() {
-        node.control.take(node.epoch(), input(node));
+        node.control.send_input(node.epoch(), input(node));
     }
 }
 
--- a/src/cluster/heartbeat.rs
+++ b/src/cluster/heartbeat.rs
@@ -7,7 +7,7 @@
 };
 use super::ownership;
 use super::peer_frame::{
-    Beat,
+    Heartbeat,
     PeerBody, //
 };
 use super::peer_table::Peer;
@@ -36,11 +36,11 @@
 pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
         let others = node.others();
-        let gap_ms = match node.owns() {
+        let interval_ms = match node.owns() {
             true => BEAT_MS,
             false => BEAT_MS.max(others.len() as u64 * BEAT_PER_PEER_MS),
         };
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             daemon: node.settings.daemon.clone(),
             boot: node.boot,
             port: u32::from(node.settings.peer_address.port()),
@@ -48,13 +48,13 @@
             has_store: node.has_store(),
             draining: node.is_draining(),
             configuration_version: node.configuration().version,
-            strength: node.settings.strength,
-            gap_ms,
+            cpu_millis: node.settings.cpu_millis,
+            interval_ms,
         }
         .encode_to_vec();
         for (_, peer) in &others {
             // A datagram may be lost; the next one follows.
-            if let Err(error) = socket.send_to(&beat, peer.address).await {
+            if let Err(error) = socket.send_to(&heartbeat, peer.address).await {
                 log::debug!("a heartbeat was not sent: {error}");
             }
         }
@@ -62,7 +62,7 @@
         // slept to its end was taken for dead before its first heartbeat, after 2.4 s
         // among 297, though it worked; its successor took over anew.
         tokio::select! {
-            _ = node.timer.after(gap_ms) => {}
+            _ = node.timer.after(interval_ms) => {}
             () = node.until_owning() => {}
         }
     }
@@ -78,39 +78,39 @@
             node.timer.after(1).await;
             continue;
         };
-        match Beat::decode(&buffer[..length]) {
-            Ok(beat) => take_beat(&node, beat, from),
+        match Heartbeat::decode(&buffer[..length]) {
+            Ok(heartbeat) => take_beat(&node, heartbeat, from),
             Err(_) => metrics::counter!("fuchsiaslip_beats_unread_total").increment(1),
         }
     }
 }
 
-fn take_beat(node: &Rc<Node>, beat: Beat, from: SocketAddr) {
+fn take_beat(node: &Rc<Node>, heartbeat: Heartbeat, from: SocketAddr) {
     let now_ms = node.now_ms();
-    let address = SocketAddr::new(from.ip(), beat.port as u16);
+    let address = SocketAddr::new(from.ip(), heartbeat.port as u16);
     let peer = Peer {
         address,
-        boot: beat.boot,
+        boot: heartbeat.boot,
         heard_ms: now_ms,
-        has_store: beat.has_store,
-        storeless_since_ms: (!beat.has_store).then_some(now_ms),
-        draining: beat.draining,
-        strength: beat.strength,
-        gap_ms: beat.gap_ms,
+        has_store: heartbeat.has_store,
+        store_lost_since_ms: (!heartbeat.has_store).then_some(now_ms),
+        draining: heartbeat.draining,
+        cpu_millis: heartbeat.cpu_millis,
+        interval_ms: heartbeat.interval_ms,
         listed: false,
     };
-    node.note_peer(&beat.daemon, peer);
-    if beat.epoch > 0 {
+    node.note_peer(&heartbeat.daemon, peer);
+    if heartbeat.epoch > 0 {
         node.learn_owner(KnownOwner {
-            epoch: beat.epoch,
-            name: beat.daemon,
+            epoch: heartbeat.epoch,
+            name: heartbeat.daemon,
             address,
-            boot: beat.boot,
+            boot: heartbeat.boot,
             since_ms: now_ms,
         });
-        node.owner_said(beat.epoch);
+        node.owner_said(heartbeat.epoch);
     }
-    if node.lags_behind(beat.configuration_version) {
+    if node.lags_behind(heartbeat.configuration_version) {
         actix_rt::spawn(fetch_configuration(node.clone(), address));
     }
 }
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -1,8 +1,8 @@
 //! What is stored of a fleet, read by people: it needs no daemon that answers.
 
 use super::invalid_values::{
+    InvalidReason, //
     StoredKind,
-    Unused, //
 };
 use super::records::{
     CLOSED_PREFIX,
@@ -101,23 +101,23 @@
 }
 
 impl FleetReport {
-    /// What was read; `None` for what cannot be used, which is reported.
-    fn used<T>(
+    /// The decoded value; `None` for one that is invalid, which is reported.
+    fn valid_value<T>(
         &mut self,
         kind: StoredKind,
         item: &StoredItem,
-        read: Result<T, impl Into<Unused>>,
+        read: Result<T, impl Into<InvalidReason>>,
     ) -> Option<T> {
         match read {
             Ok(value) => Some(value),
             Err(why) => {
-                self.add_unused(kind, item, why.into());
+                self.add_invalid(kind, item, why.into());
                 None
             }
         }
     }
 
-    fn add_unused(&mut self, kind: StoredKind, item: &StoredItem, why: Unused) {
+    fn add_invalid(&mut self, kind: StoredKind, item: &StoredItem, why: InvalidReason) {
         self.unused.push(UnusedValue {
             key: item.key.clone(),
             revision: item.revision,
@@ -141,11 +141,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredJob {
     /// What its caller asked for, or why that does not read.
-    pub record: Result<JobRecord, Unused>,
+    pub record: Result<JobRecord, InvalidReason>,
     /// Its cancellation is stored.
     pub cancelled: bool,
     /// What the owner noted of it, or why that does not read.
-    pub progress: Option<Result<ProgressRecord, Unused>>,
+    pub progress: Option<Result<ProgressRecord, InvalidReason>>,
     /// Data centres that get no new tasks: it waits where it needs room there.
     pub emptied_data_centres: Vec<String>,
 }
@@ -159,7 +159,7 @@
     let store = StoreClient::open(HttpClient::open(timer.clone()), address);
     let mut report = FleetReport::default();
     if let Some(item) = store.get(ROOT_KEY).await? {
-        let root = report.used(StoredKind::Root, &item, decode_root(&item.value));
+        let root = report.valid_value(StoredKind::Root, &item, decode_root(&item.value));
         let root = root.unwrap_or_default();
         report.owner = root.owner;
         report.epoch = root.epoch;
@@ -167,19 +167,19 @@
     }
     for item in store.range(MEMBERS_PREFIX, true).await?.items {
         let read = decode::<MemberRecord>(&item.value);
-        if let Some(member) = report.used(StoredKind::Member, &item, read) {
+        if let Some(member) = report.valid_value(StoredKind::Member, &item, read) {
             let name = name_of(&item.key, MEMBERS_PREFIX);
             report.daemons.insert(name, member.address);
         }
     }
     if let Some(item) = store.get(ROSTER_KEY).await? {
         let read = decode::<Vec<RosterRow>>(&item.value);
-        let rows = report.used(StoredKind::Roster, &item, read);
+        let rows = report.valid_value(StoredKind::Roster, &item, read);
         report.workers = rows.unwrap_or_default().len();
     }
     for item in store.range(CLOSED_PREFIX, true).await?.items {
         let read = decode::<ClosedRecord>(&item.value);
-        let record = report.used(StoredKind::Closed, &item, read);
+        let record = report.valid_value(StoredKind::Closed, &item, read);
         if let Some(record) = record.filter(|record| record.closed) {
             let name = name_of(&item.key, CLOSED_PREFIX);
             report.closed_workers.insert(name, record.runs);
@@ -201,13 +201,17 @@
     let mut known: BTreeMap<String, EmptiedRecord> = BTreeMap::new();
     for item in store.range(EMPTIED_PREFIX, false).await?.items {
         let read = decode::<EmptiedRecord>(&item.value);
-        if let Some(record) = report.used(StoredKind::Emptied, &item, read) {
+        if let Some(record) = report.valid_value(StoredKind::Emptied, &item, read) {
             known.insert(name_of(&item.key, EMPTIED_PREFIX), record);
         }
     }
     for item in store.range(EMPTYING_PREFIX, false).await?.items {
         let Some(name) = emptied_data_centre(&item.key) else {
-            report.add_unused(StoredKind::Emptying, &item, Unused::because("bad_name"));
+            report.add_invalid(
+                StoredKind::Emptying,
+                &item,
+                InvalidReason::because("bad_name"),
+            );
             continue;
         };
         // A record of an earlier order says nothing of this one.
@@ -232,18 +236,18 @@
     for item in store.range(WORKERS_PREFIX, true).await?.items {
         let name = name_of(&item.key, WORKERS_PREFIX);
         let read = decode_worker(&name, &item.value);
-        report.used(StoredKind::Worker, &item, read);
+        report.valid_value(StoredKind::Worker, &item, read);
     }
     for item in store.range(OPERATOR_PREFIX, true).await?.items {
         if item.key == CONFIGURATION_KEY {
             let read = decode_configuration(&item.value);
-            report.used(StoredKind::Configuration, &item, read);
+            report.valid_value(StoredKind::Configuration, &item, read);
         } else if item.key.starts_with(WAVES_PREFIX) {
-            report.used(StoredKind::Wave, &item, read_wave(&item));
+            report.valid_value(StoredKind::Wave, &item, read_wave(&item));
         }
     }
     for item in store.range(WAVE_STATES_PREFIX, true).await?.items {
-        report.used(StoredKind::WaveState, &item, is_wave_completed(&item.value));
+        report.valid_value(StoredKind::WaveState, &item, is_wave_completed(&item.value));
     }
     Ok(())
 }
@@ -252,18 +256,22 @@
     let mut states: BTreeMap<JobId, Option<FinalState>> = BTreeMap::new();
     for item in store.range(PROGRESS_PREFIX, true).await?.items {
         let Some(job) = item.key.strip_prefix(PROGRESS_PREFIX).and_then(job_id) else {
-            report.add_unused(StoredKind::Progress, &item, Unused::because("bad_name"));
+            report.add_invalid(
+                StoredKind::Progress,
+                &item,
+                InvalidReason::because("bad_name"),
+            );
             continue;
         };
         let read = decode_progress(&item.value);
-        if let Some(progress) = report.used(StoredKind::Progress, &item, read) {
+        if let Some(progress) = report.valid_value(StoredKind::Progress, &item, read) {
             states.insert(job, progress.ended);
         }
     }
     for item in store.range(JOBS_PREFIX, true).await?.items {
         let kind = read_job_key(&item.key);
         if let Some(JobKeyKind::Job(_)) = kind {
-            report.used(StoredKind::Job, &item, decode_job_record(&item.value));
+            report.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
         }
         match kind {
             Some(JobKeyKind::Job(job)) => match states.get(&job).copied().flatten() {
@@ -277,7 +285,7 @@
                 report.open_jobs = report.open_jobs.saturating_sub(1);
             }
             Some(JobKeyKind::Cancelled(_)) => {}
-            None => report.add_unused(StoredKind::Job, &item, Unused::because("bad_name")),
+            None => report.add_invalid(StoredKind::Job, &item, InvalidReason::because("bad_name")),
         }
     }
     Ok(())
--- a/src/cluster/invalid_values.rs
+++ b/src/cluster/invalid_values.rs
@@ -1,5 +1,5 @@
-//! Values of the store that are not used: what each kind is, and telling on-call
-//! of them once.
+//! Invalid values in the store: the kinds of values, and reporting each invalid one
+//! to on-call once.
 //!
 //! Load pattern: another writer writes hundreds of such values, again and again,
 //! and every list reads all of them. So each revision of a key is told once, a few
@@ -7,7 +7,7 @@
 
 use super::log_lines::{
     self,
-    UnusedLine, //
+    InvalidValueLine, //
 };
 use super::store_types::StoredItem;
 use crate::platform::WorkerEntryError;
@@ -118,16 +118,16 @@
     }
 }
 
-/// Why a value is not used.
+/// Why a stored value is invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Unused {
+pub struct InvalidReason {
     /// The reason as logs and counters name it.
     pub reason: &'static str,
     /// The same in full.
     pub problem: String,
 }
 
-impl Unused {
+impl InvalidReason {
     /// A reason that says it all.
     pub fn because(reason: &'static str) -> Self {
         Self {
@@ -137,7 +137,7 @@
     }
 }
 
-impl From<WorkerEntryError> for Unused {
+impl From<WorkerEntryError> for InvalidReason {
     fn from(error: WorkerEntryError) -> Self {
         Self {
             reason: error.reason(),
@@ -146,7 +146,7 @@
     }
 }
 
-impl From<serde_json::Error> for Unused {
+impl From<serde_json::Error> for InvalidReason {
     fn from(error: serde_json::Error) -> Self {
         let reason = match error.is_data() {
             true => "bad_field",
@@ -163,19 +163,25 @@
     problem.chars().take(MAX_PROBLEM_CHARS).collect()
 }
 
-/// What was told of values that are not used.
+/// Reports invalid values, each revision once, at a limited rate.
 #[derive(Debug, Default)]
-pub struct UnusedValues {
+pub struct InvalidValueReporter {
     told: HashSet<u64>,
     order: VecDeque<u64>,
     lines: f64,
     refilled_ms: u64,
 }
 
-impl UnusedValues {
-    /// Counts a value that is not used and logs it, unless that was done for this
-    /// revision; whether a line was written.
-    pub fn note(&mut self, kind: StoredKind, item: &StoredItem, why: &Unused, now_ms: u64) -> bool {
+impl InvalidValueReporter {
+    /// Counts an invalid value and logs it, unless that was done for this revision;
+    /// returns whether a line was written.
+    pub fn note(
+        &mut self,
+        kind: StoredKind,
+        item: &StoredItem,
+        why: &InvalidReason,
+        now_ms: u64,
+    ) -> bool {
         if !self.is_new(&item.key, item.revision) {
             return false;
         }
@@ -185,7 +191,7 @@
             metrics::counter!("fuchsiaslip_values_unused_untold_total").increment(1);
             return false;
         }
-        log_lines::value_unused(&UnusedLine {
+        log_lines::invalid_value(&InvalidValueLine {
             key: &item.key,
             revision: item.revision,
             kind: kind.name(),
--- a/src/cluster/log_lines.rs
+++ b/src/cluster/log_lines.rs
@@ -150,7 +150,7 @@
 }
 
 /// What is logged of a value that is not used.
-pub struct UnusedLine<'a> {
+pub struct InvalidValueLine<'a> {
     /// Its key.
     pub key: &'a str,
     /// Its revision.
@@ -190,7 +190,7 @@
 }
 
 /// Logs a value of the store that is not used.
-pub fn value_unused(line: &UnusedLine<'_>) {
+pub fn invalid_value(line: &InvalidValueLine<'_>) {
     emit(
         crate::events::RECORD_UNREADABLE,
         json!({
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -43,7 +43,7 @@
 pub use election::{
     Candidate,
     ElectionView,
-    OwnerSign,
+    OwnerStatus,
     Takeover,
     takeover, //
 };
@@ -56,9 +56,9 @@
     inspect_job, //
 };
 pub use invalid_values::{
+    InvalidReason,
+    InvalidValueReporter, //
     StoredKind,
-    Unused,
-    UnusedValues, //
 };
 pub use records::job_id;
 pub use settings::ClusterSettings;
@@ -68,12 +68,12 @@
     StoreHealth, //
 };
 pub use store_types::{
-    Committed,
+    CommitResult,
     MAX_TRANSACTION_ENTRIES,
-    Range,
     StoreError,
     StoreEvent,
     StoredItem,
+    StoredRange,
     Transaction,
-    Watched, //
+    WatchResult, //
 };
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -7,21 +7,21 @@
 use super::election::{
     Candidate,
     ElectionView,
-    OwnerSign,
+    OwnerStatus,
     owner_heard_ms, //
 };
 use super::emptying::EmptyingOrders;
 use super::invalid_values::{
+    InvalidReason,
+    InvalidValueReporter, //
     StoredKind,
-    Unused,
-    UnusedValues, //
 };
 use super::peer_connections::Peers;
 use super::peer_table::{
     Peer,
     PeerTable, //
 };
-use super::pending_writes::Ledger;
+use super::pending_writes::PendingWrites;
 use super::settings::ClusterSettings;
 use super::store_calls::StoreCalls;
 use super::store_types::{
@@ -89,7 +89,7 @@
     /// Connections to other daemons.
     pub peers: Peers,
     /// What the owner stores.
-    pub ledger: Ledger,
+    pub pending_writes: PendingWrites,
     /// The life of this process.
     pub boot: u64,
     /// When it started.
@@ -109,7 +109,7 @@
     draining: Cell<bool>,
     behind_since_ms: Cell<Option<u64>>,
     fetching: Cell<bool>,
-    unused: RefCell<UnusedValues>,
+    unused: RefCell<InvalidValueReporter>,
     unreadable_jobs: RefCell<BTreeSet<JobId>>,
 }
 
@@ -127,7 +127,7 @@
         let started_ms = timer.now_ms();
         Rc::new(Self {
             peers: Peers::open(timer.clone()),
-            ledger: Ledger::default(),
+            pending_writes: PendingWrites::default(),
             settings,
             store,
             workers,
@@ -178,7 +178,7 @@
         *self.configuration.borrow_mut() = configuration.clone();
         if self.owns() {
             self.control
-                .take(self.epoch(), Input::Configure(configuration));
+                .send_input(self.epoch(), Input::Configure(configuration));
         }
     }
 
@@ -224,30 +224,30 @@
 
     /// Whether the balancer may send new connections.
     pub fn is_ready(&self) -> bool {
-        let confirmed = !self.doubts_configuration() || self.fit_peer().is_some();
+        let confirmed = !self.doubts_configuration() || self.eligible_peer().is_some();
         self.configuration.borrow().version > 0 && confirmed && !self.draining.get()
     }
 
-    /// Notes how a call to the store went.
-    pub fn store_went(&self, well: bool) {
-        self.store_calls.went(well);
+    /// Records whether a call to the store was answered.
+    pub fn record_store_outcome(&self, well: bool) {
+        self.store_calls.record_outcome(well);
     }
 
-    /// Makes a call of a client's request to the store, and notes how it went.
-    pub async fn asking_store<T>(
+    /// Makes a call to the store for a client's request and records its outcome.
+    pub async fn call_store<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        self.store_calls.asking(call).await
+        self.store_calls.call_store(call).await
     }
 
-    /// Waits for a call, or until it turns out that the store was silent since: it
-    /// is never answered then.
-    pub async fn unless_silenced<T>(
+    /// Waits for a call, and abandons it if the store turns out to have been down since
+    /// it was made: such a call is never answered.
+    pub async fn abandon_after_outage<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        self.store_calls.unless_silenced(call).await
+        self.store_calls.abandon_after_outage(call).await
     }
 
     /// Whether a sign of life of the store is missing.
@@ -256,8 +256,8 @@
     }
 
     /// How long to wait for the store before a call is made again.
-    pub fn store_patience_ms(&self) -> u64 {
-        self.store_calls.patience_ms()
+    pub fn store_timeout_ms(&self) -> u64 {
+        self.store_calls.answer_timeout_ms()
     }
 
     /// Whether the store answers this daemon.
@@ -266,29 +266,28 @@
     }
 
     /// Whether what a client sends can be stored now.
-    pub fn takes_jobs(&self) -> bool {
-        self.store_calls.takes_jobs()
+    pub fn accepts_jobs(&self) -> bool {
+        self.store_calls.accepts_jobs()
     }
 
-    /// What was read of a stored value; `None`, told once, for one that cannot be
-    /// used.
-    pub fn used<T>(
+    /// The decoded value; `None` for one that is invalid, which is reported once.
+    pub fn valid_value<T>(
         &self,
         kind: StoredKind,
         item: &StoredItem,
-        read: Result<T, impl Into<Unused>>,
+        read: Result<T, impl Into<InvalidReason>>,
     ) -> Option<T> {
         match read {
             Ok(value) => Some(value),
             Err(why) => {
-                self.note_unused(kind, item, &why.into());
+                self.report_invalid(kind, item, &why.into());
                 None
             }
         }
     }
 
-    /// Tells once of a stored value that cannot be used.
-    pub fn note_unused(&self, kind: StoredKind, item: &StoredItem, why: &Unused) {
+    /// Reports an invalid stored value, once for each revision.
+    pub fn report_invalid(&self, kind: StoredKind, item: &StoredItem, why: &InvalidReason) {
         let now_ms = self.now_ms();
         self.unused.borrow_mut().note(kind, item, why, now_ms);
     }
@@ -372,7 +371,7 @@
             );
             metrics::counter!("fuchsiaslip_deposed_total", "reason" => reason).increment(1);
             self.epoch.set(0);
-            self.ledger.clear();
+            self.pending_writes.clear();
             self.control.send(Command::End);
         }
     }
@@ -425,18 +424,19 @@
         self.others.borrow().count()
     }
 
-    /// Whether a daemon's life is certainly over: it has another one now.
-    pub fn is_over(&self, daemon: &str, boot: u64) -> bool {
+    /// Whether an incarnation of a daemon is certainly over: the daemon has a newer one.
+    pub fn is_incarnation_over(&self, daemon: &str, boot: u64) -> bool {
         if daemon == self.settings.daemon {
             return boot != self.boot;
         }
-        self.others.borrow().is_over(daemon, boot)
+        self.others.borrow().is_incarnation_over(daemon, boot)
     }
 
-    /// A peer that is there and reaches the store: the owner first.
-    pub fn fit_peer(&self) -> Option<SocketAddr> {
+    /// The address of a live peer that reaches the store and does not drain; the owner's
+    /// if it is one.
+    pub fn eligible_peer(&self) -> Option<SocketAddr> {
         let owner = self.owner().map(|owner| owner.address);
-        self.others.borrow().fit(owner, self.now_ms())
+        self.others.borrow().eligible_peer(owner, self.now_ms())
     }
 
     /// What this daemon knows for the question whether to take over.
@@ -445,30 +445,30 @@
         ElectionView {
             own: Candidate {
                 name: self.settings.daemon.clone(),
-                strength: self.settings.strength,
-                fit: self.has_store() && !self.draining.get(),
+                cpu_millis: self.settings.cpu_millis,
+                eligible: self.has_store() && !self.draining.get(),
             },
             started_ms: self.started_ms,
-            store_back_ms: self.store_calls.back_ms(),
+            store_recovered_ms: self.store_calls.recovered_ms(),
             heard: others.candidates(self.now_ms()),
             listed: others.listed_count(),
-            owner: self.owner().map(|owner| self.sign_of(&owner)),
+            owner: self.owner().map(|owner| self.owner_status(&owner)),
         }
     }
 
-    /// What is known of the owner's life.
-    fn sign_of(&self, owner: &KnownOwner) -> OwnerSign {
+    /// What is known of the owner.
+    fn owner_status(&self, owner: &KnownOwner) -> OwnerStatus {
         let others = self.others.borrow();
-        let peer = others.life(&owner.name, owner.boot);
+        let peer = others.incarnation(&owner.name, owner.boot);
         let heard_ms = peer.map_or(0, |peer| peer.heard_ms).max(owner.since_ms);
         let said_ms = self.owner_said_ms.get().max(owner.since_ms);
-        OwnerSign {
+        OwnerStatus {
             name: owner.name.clone(),
             heard_ms: owner_heard_ms(heard_ms, said_ms),
             since_ms: owner.since_ms,
-            storeless_since_ms: peer.and_then(|peer| peer.storeless_since_ms),
+            store_lost_since_ms: peer.and_then(|peer| peer.store_lost_since_ms),
             draining: peer.is_some_and(|peer| peer.draining),
-            over: !self.owns() && self.is_over(&owner.name, owner.boot),
+            over: !self.owns() && self.is_incarnation_over(&owner.name, owner.boot),
         }
     }
 }
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -21,7 +21,7 @@
     encode, //
 };
 use super::store_types::{
-    Committed,
+    CommitResult,
     StoreError,
     Transaction, //
 };
@@ -71,7 +71,7 @@
         None => RootRecord::default(),
         Some(item) => {
             let read = decode_root(&item.value);
-            let Some(known) = node.used(StoredKind::Root, &item, read) else {
+            let Some(known) = node.valid_value(StoredKind::Root, &item, read) else {
                 // Taken for none, it would be followed by the first epoch, whose
                 // orders every worker refuses, and two owners could share it.
                 node.timer.after(UNREAD_ROOT_MS).await;
@@ -80,13 +80,16 @@
             known
         }
     };
-    if store_watch::learn_root(node, &known) && !node.is_over(&known.owner, known.boot) {
+    if store_watch::learn_root(node, &known) && !node.is_incarnation_over(&known.owner, known.boot)
+    {
         // Somebody took over just now: wait for its heartbeats.
         return Ok(());
     }
     // A daemon that was restarted ended its earlier life; a peer is heard with the
     // life that it has now.
-    let earlier = known.not_over(began_ms, |owner, boot| node.is_over(owner, boot));
+    let earlier = known.not_over(began_ms, |owner, boot| {
+        node.is_incarnation_over(owner, boot)
+    });
     let earlier_owner_over = earlier.is_empty();
     let next = RootRecord {
         epoch: known.epoch + 1,
@@ -101,8 +104,8 @@
         ..Transaction::default()
     };
     let taken = match node.store.commit(&transaction).await {
-        Ok(Committed::Done { revision }) => Some(revision),
-        Ok(Committed::Conflict(_) | Committed::LeaseOver) => None,
+        Ok(CommitResult::Done { revision }) => Some(revision),
+        Ok(CommitResult::Conflict(_) | CommitResult::LeaseOver) => None,
         Err(StoreError::Refused) => return Err(StoreError::Refused),
         // It may have been carried out: the root tells.
         Err(StoreError::NoAnswer) => {
@@ -190,14 +193,14 @@
         // depose, so this daemon would go on owning beside it.
         return Err(StoreError::Refused);
     }
-    node.ledger.clear();
+    node.pending_writes.clear();
     node.begin_owning(epoch, taken.root_revision);
     let mut stored = vec![Input::Configure(node.configuration())];
     let mut roster_count = 0;
     if let Some(item) = roster {
-        node.ledger.note_revision(ROSTER_KEY, item.revision);
+        node.pending_writes.note_revision(ROSTER_KEY, item.revision);
         let read = decode::<Vec<RosterRow>>(&item.value);
-        let rows = node.used(StoredKind::Roster, &item, read);
+        let rows = node.valid_value(StoredKind::Roster, &item, read);
         let records = closed_records(node, &closed);
         match rows {
             Some(rows) => {
@@ -214,12 +217,13 @@
     stored.push(Input::EntriesRead { sent_ms: asked_ms });
     stored.extend(job_inputs(node, &jobs, &progress));
     for item in &states.items {
-        node.ledger.note_revision(&item.key, item.revision);
+        node.pending_writes.note_revision(&item.key, item.revision);
     }
     stored.extend(wave_inputs(node, &waves, &states));
     stored.push(emptying::input(node));
     let found = emptied_records(node, &emptied);
-    node.ledger.note_emptied(found, &node.emptying().in_force());
+    node.pending_writes
+        .note_emptied(found, &node.emptying().in_force());
     stored.push(Input::EpochConfirmed(began_ms));
     stored.push(Input::StoredStateRead {
         earlier_owner_over: taken.earlier_owner_over,
@@ -253,13 +257,14 @@
 async fn confirm(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
         let sent_ms = node.now_ms();
-        let root = node.asking_store(node.store.get(ROOT_KEY)).await;
+        let root = node.call_store(node.store.get(ROOT_KEY)).await;
         if node.epoch() != epoch {
             return;
         }
         match root {
             Ok(Some(item)) if item.revision == node.root_revision() => {
-                node.control.take(epoch, Input::EpochConfirmed(sent_ms));
+                node.control
+                    .send_input(epoch, Input::EpochConfirmed(sent_ms));
                 node.timer.after(CONFIRM_MS).await;
             }
             Ok(_) => return node.stop_owning("root_changed"),
--- a/src/cluster/peer_connections.rs
+++ b/src/cluster/peer_connections.rs
@@ -230,27 +230,27 @@
 }
 
 /// A view as a number; 0 for a job that is not known.
-pub fn code_of(view: Option<crate::scheduler::JobView>) -> u32 {
-    use crate::scheduler::JobView;
+pub fn code_of(view: Option<crate::scheduler::JobStatus>) -> u32 {
+    use crate::scheduler::JobStatus;
     match view {
         None => 0,
-        Some(JobView::Queued) => 1,
-        Some(JobView::Running) => 2,
-        Some(JobView::Completed) => 3,
-        Some(JobView::Failed) => 4,
-        Some(JobView::Cancelled) => 5,
+        Some(JobStatus::Queued) => 1,
+        Some(JobStatus::Running) => 2,
+        Some(JobStatus::Completed) => 3,
+        Some(JobStatus::Failed) => 4,
+        Some(JobStatus::Cancelled) => 5,
     }
 }
 
 /// The view of a number.
-pub fn view_of(code: u32) -> Option<crate::scheduler::JobView> {
-    use crate::scheduler::JobView;
+pub fn status_of(code: u32) -> Option<crate::scheduler::JobStatus> {
+    use crate::scheduler::JobStatus;
     match code {
-        1 => Some(JobView::Queued),
-        2 => Some(JobView::Running),
-        3 => Some(JobView::Completed),
-        4 => Some(JobView::Failed),
-        5 => Some(JobView::Cancelled),
+        1 => Some(JobStatus::Queued),
+        2 => Some(JobStatus::Running),
+        3 => Some(JobStatus::Completed),
+        4 => Some(JobStatus::Failed),
+        5 => Some(JobStatus::Cancelled),
         _ => None,
     }
 }
--- a/src/cluster/peer_frame.rs
+++ b/src/cluster/peer_frame.rs
@@ -19,18 +19,18 @@
 /// What a message says.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerBody {
-    /// What may be told of a job?
+    /// Asks for the status of a job.
     #[prost(fixed64, tag = "2")]
-    ViewOf(u64),
-    /// The view, as a number of [`super::peer_connections::code_of`].
+    JobStatusOf(u64),
+    /// The status, as a number of [`super::peer_connections::code_of`].
     #[prost(uint32, tag = "3")]
-    View(u32),
-    /// How many jobs of a queue wait?
+    JobStatus(u32),
+    /// Asks how many jobs of a queue wait.
     #[prost(string, tag = "4")]
-    PendingOf(String),
-    /// So many.
+    PendingCountOf(String),
+    /// How many jobs wait.
     #[prost(uint64, tag = "5")]
-    Pending(u64),
+    PendingCount(u64),
     /// This job is stored.
     #[prost(message, tag = "6")]
     Accepted(JobBytes),
@@ -43,9 +43,9 @@
     /// Store this job's cancellation.
     #[prost(fixed64, tag = "9")]
     Cancel(u64),
-    /// What became of storing it, as a number of `submit::Stored`.
+    /// The outcome of storing it, as a number of `submit::StorageOutcome`.
     #[prost(uint32, tag = "10")]
-    Stored(u32),
+    StorageOutcome(u32),
     /// The newest configuration, if it is above this version.
     #[prost(uint64, tag = "11")]
     ConfigurationAbove(u64),
@@ -67,7 +67,7 @@
 
 /// A heartbeat, one datagram.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     #[prost(string, tag = "1")]
     pub daemon: String,
@@ -91,8 +91,8 @@
     pub configuration_version: u64,
     /// Milli-cores of its VM.
     #[prost(uint64, tag = "8")]
-    pub strength: u64,
+    pub cpu_millis: u64,
     /// Time to the next heartbeat.
     #[prost(uint64, tag = "9")]
-    pub gap_ms: u64,
+    pub interval_ms: u64,
 }
--- a/src/cluster/peer_table.rs
+++ b/src/cluster/peer_table.rs
@@ -21,14 +21,14 @@
     pub heard_ms: u64,
     /// It reaches the store.
     pub has_store: bool,
-    /// Since when it says that it does not.
-    pub storeless_since_ms: Option<u64>,
+    /// Since when it reports that it has lost the store.
+    pub store_lost_since_ms: Option<u64>,
     /// It is ending.
     pub draining: bool,
     /// Milli-cores of its VM.
-    pub strength: u64,
+    pub cpu_millis: u64,
     /// Time between its heartbeats.
-    pub gap_ms: u64,
+    pub interval_ms: u64,
     /// The store lists it.
     pub listed: bool,
 }
@@ -36,12 +36,12 @@
 impl Peer {
     /// Whether it was heard lately.
     fn is_heard(&self, now_ms: u64) -> bool {
-        let window_ms = HEARD_MS.max(self.gap_ms * HEARD_BEATS);
+        let window_ms = HEARD_MS.max(self.interval_ms * HEARD_BEATS);
         self.heard_ms > 0 && now_ms < self.heard_ms + window_ms
     }
 
-    /// Whether it reaches the store and goes on.
-    fn is_fit(&self) -> bool {
+    /// Whether it reaches the store and does not drain.
+    fn is_eligible(&self) -> bool {
         self.has_store && !self.draining
     }
 }
@@ -67,9 +67,9 @@
             },
             Some(known) => Peer {
                 listed: known.listed,
-                storeless_since_ms: match peer.has_store {
+                store_lost_since_ms: match peer.has_store {
                     true => None,
-                    false => known.storeless_since_ms.or(Some(peer.heard_ms)),
+                    false => known.store_lost_since_ms.or(Some(peer.heard_ms)),
                 },
                 ..peer
             },
@@ -103,24 +103,23 @@
         self.peers.values().filter(|peer| peer.listed).count()
     }
 
-    /// A peer, if it has this life now.
-    pub fn life(&self, name: &str, boot: u64) -> Option<&Peer> {
+    /// A peer, if this is its present incarnation.
+    pub fn incarnation(&self, name: &str, boot: u64) -> Option<&Peer> {
         let peer = self.peers.get(name);
         peer.filter(|peer| peer.boot == boot)
     }
 
-    /// Whether a peer's life is certainly over: it was heard with another one.
-    pub fn is_over(&self, name: &str, boot: u64) -> bool {
+    /// Whether an incarnation of a peer is certainly over: a newer one was heard.
+    pub fn is_incarnation_over(&self, name: &str, boot: u64) -> bool {
         let peer = self.peers.get(name);
         peer.is_some_and(|peer| peer.heard_ms > 0 && peer.boot != boot)
     }
 
-    /// Where a peer is called that is there and reaches the store: the owner, if
-    /// it is such a peer.
-    pub fn fit(&self, owner: Option<SocketAddr>, now_ms: u64) -> Option<SocketAddr> {
+    /// The address of a live and eligible peer: the owner's if it is one.
+    pub fn eligible_peer(&self, owner: Option<SocketAddr>, now_ms: u64) -> Option<SocketAddr> {
         let heard = self.peers.values().filter(|peer| peer.is_heard(now_ms));
-        let fit = heard.filter(|peer| peer.is_fit());
-        let addresses: Vec<SocketAddr> = fit.map(|peer| peer.address).collect();
+        let eligible = heard.filter(|peer| peer.is_eligible());
+        let addresses: Vec<SocketAddr> = eligible.map(|peer| peer.address).collect();
         let own = addresses.iter().find(|address| Some(**address) == owner);
         own.or(addresses.first()).copied()
     }
@@ -131,8 +130,8 @@
         heard
             .map(|(name, peer)| Candidate {
                 name: name.clone(),
-                strength: peer.strength,
-                fit: peer.is_fit(),
+                cpu_millis: peer.cpu_millis,
+                eligible: peer.is_eligible(),
             })
             .collect()
     }
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -1,5 +1,5 @@
-//! What waits to be stored of what the scheduler notes, and the transactions that
-//! carry it; [`super::commits`] sends them.
+//! The writes that wait to be stored, and the transactions that
+//! carry them; [`super::commits`] sends them.
 //!
 //! Every value has one writer, the owner, and each write is conditional on the
 //! root's revision and on the value's own last revision. A transaction whose
@@ -92,7 +92,7 @@
 
 /// What waits to be stored.
 #[derive(Default)]
-pub struct Ledger {
+pub struct PendingWrites {
     pending: RefCell<Pending>,
     added: Notify,
 }
@@ -144,7 +144,7 @@
     }
 }
 
-impl Ledger {
+impl PendingWrites {
     /// Forgets everything: another daemon owns.
     pub fn clear(&self) {
         *self.pending.borrow_mut() = Pending::default();
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,6 +1,6 @@
 //! Keys and values that the product keeps in the store.
 
-use super::invalid_values::Unused;
+use super::invalid_values::InvalidReason;
 use crate::core::JobId;
 use crate::scheduler::{
     ClosedRuns,
@@ -74,7 +74,11 @@
     /// The owners, the one of this root among them, that may still give leases when
     /// a daemon takes over at `now_ms`. The last root alone does not tell: an owner
     /// that is cut off goes on, also if the one that followed it crashes at once.
-    pub fn not_over(&self, now_ms: u64, is_over: impl Fn(&str, u64) -> bool) -> Vec<EarlierOwner> {
+    pub fn not_over(
+        &self,
+        now_ms: u64,
+        is_incarnation_over: impl Fn(&str, u64) -> bool,
+    ) -> Vec<EarlierOwner> {
         if self.epoch == 0 {
             return Vec::new();
         }
@@ -86,7 +90,7 @@
         let known = self.earlier.iter().cloned().chain([last]);
         known
             .filter(|earlier| now_ms < earlier.followed_ms + EARLIER_MS)
-            .filter(|earlier| !is_over(&earlier.owner, earlier.boot))
+            .filter(|earlier| !is_incarnation_over(&earlier.owner, earlier.boot))
             .collect()
     }
 }
@@ -239,7 +243,7 @@
 /// # Errors
 ///
 /// It is none of this kind.
-pub fn decode<T: DeserializeOwned>(value: &[u8]) -> Result<T, Unused> {
+pub fn decode<T: DeserializeOwned>(value: &[u8]) -> Result<T, InvalidReason> {
     Ok(serde_json::from_slice(value)?)
 }
 
@@ -248,11 +252,11 @@
 /// # Errors
 ///
 /// It is none, or its epoch is higher than any owner comes.
-pub fn decode_root(value: &[u8]) -> Result<RootRecord, Unused> {
+pub fn decode_root(value: &[u8]) -> Result<RootRecord, InvalidReason> {
     let root: RootRecord = decode(value)?;
     match root.epoch <= MAX_EPOCH {
         true => Ok(root),
-        false => Err(Unused::because("bad_number")),
+        false => Err(InvalidReason::because("bad_number")),
     }
 }
 
@@ -261,11 +265,11 @@
 /// # Errors
 ///
 /// It is none, or nobody can run it.
-pub fn decode_job_record(value: &[u8]) -> Result<JobRecord, Unused> {
+pub fn decode_job_record(value: &[u8]) -> Result<JobRecord, InvalidReason> {
     let record: JobRecord = decode(value)?;
     match record.spec.problem() {
         None => Ok(record),
-        Some(problem) => Err(Unused {
+        Some(problem) => Err(InvalidReason {
             reason: "bad_job",
             problem: problem.to_owned(),
         }),
@@ -277,10 +281,10 @@
 /// # Errors
 ///
 /// It is none, or names runs that no owner numbers so.
-pub fn decode_progress(value: &[u8]) -> Result<ProgressRecord, Unused> {
+pub fn decode_progress(value: &[u8]) -> Result<ProgressRecord, InvalidReason> {
     let record: ProgressRecord = decode(value)?;
     match record.highest_run() <= MAX_RUN {
         true => Ok(record),
-        false => Err(Unused::because("bad_number")),
+        false => Err(InvalidReason::because("bad_number")),
     }
 }
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -30,7 +30,7 @@
     /// The platform's machines, if it shows them.
     pub machines_address: Option<String>,
     /// Milli-cores of its VM: the strongest daemons own.
-    pub strength: u64,
+    pub cpu_millis: u64,
     /// A drain that lasts longer than this is cut by the platform.
     pub grace_ms: u64,
     /// Bounds of the scheduler.
--- a/src/cluster/store_calls.rs
+++ b/src/cluster/store_calls.rs
@@ -28,7 +28,7 @@
 
 impl Drop for CallUnderWay<'_> {
     fn drop(&mut self) {
-        self.health.borrow_mut().ended(self.key);
+        self.health.borrow_mut().call_finished(self.key);
     }
 }
 
@@ -42,14 +42,17 @@
         }
     }
 
-    /// Notes how a call to the store went.
-    pub fn went(&self, well: bool) {
-        let change = self.health.borrow_mut().went(well, self.timer.now_ms());
+    /// Records whether a call to the store was answered.
+    pub fn record_outcome(&self, well: bool) {
+        let change = self
+            .health
+            .borrow_mut()
+            .record_outcome(well, self.timer.now_ms());
         if well {
             self.answered.notify_waiters();
         }
         match change {
-            Some(HealthChange::Back { for_ms }) => {
+            Some(HealthChange::Recovered { for_ms }) => {
                 events::log(events::STORE_BACK, format_args!("after {for_ms} ms"));
             }
             Some(HealthChange::Failing) => {
@@ -59,29 +62,29 @@
         }
     }
 
-    /// Makes a call of a client's request to the store, and notes how it went.
-    pub async fn asking<T>(
+    /// Makes a call to the store for a client's request and records its outcome.
+    pub async fn call_store<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let began_ms = self.timer.now_ms();
         let under_way = CallUnderWay {
             health: &self.health,
-            key: self.health.borrow_mut().began(began_ms),
+            key: self.health.borrow_mut().call_started(began_ms),
         };
-        let outcome = self.unless_silenced(call).await;
+        let outcome = self.abandon_after_outage(call).await;
         drop(under_way);
         if outcome.is_ok() {
             let took_ms = self.timer.now_ms() - began_ms;
-            self.health.borrow_mut().took(took_ms);
+            self.health.borrow_mut().record_latency(took_ms);
         }
-        self.went(outcome.is_ok());
+        self.record_outcome(outcome.is_ok());
         outcome
     }
 
-    /// Waits for a call, or until it turns out that the store was silent since: it
-    /// is never answered then.
-    pub async fn unless_silenced<T>(
+    /// Waits for a call, and abandons it if the store turns out to have been down since
+    /// it was made: such a call is never answered.
+    pub async fn abandon_after_outage<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
@@ -101,7 +104,7 @@
     async fn silence_over(&self, began_ms: u64) {
         loop {
             self.answered.notified().await;
-            if self.health.borrow().fell_silent(began_ms) {
+            if self.health.borrow().is_lost_in_outage(began_ms) {
                 return;
             }
         }
@@ -113,22 +116,22 @@
     }
 
     /// How long to wait before a call is made again.
-    pub fn patience_ms(&self) -> u64 {
-        self.health.borrow().patience_ms()
+    pub fn answer_timeout_ms(&self) -> u64 {
+        self.health.borrow().answer_timeout_ms()
     }
 
     /// Whether the store answers this daemon.
     pub fn has_store(&self) -> bool {
-        !self.health.borrow().is_lost(self.timer.now_ms())
+        !self.health.borrow().is_down(self.timer.now_ms())
     }
 
     /// Whether what a client sends can be stored now.
-    pub fn takes_jobs(&self) -> bool {
-        !self.health.borrow().is_away(self.timer.now_ms())
+    pub fn accepts_jobs(&self) -> bool {
+        !self.health.borrow().is_unavailable(self.timer.now_ms())
     }
 
-    /// When the store last was back; 0 for never away.
-    pub fn back_ms(&self) -> u64 {
-        self.health.borrow().back_ms()
+    /// When the store last recovered; 0 for never down.
+    pub fn recovered_ms(&self) -> u64 {
+        self.health.borrow().recovered_ms()
     }
 }
--- a/src/cluster/store_health.rs
+++ b/src/cluster/store_health.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
     failed_since_ms: Option<u64>,
-    back_ms: u64,
+    recovered_ms: u64,
     answered_ms: u64,
     /// When it last answered after a silence.
     silence_over_ms: u64,
@@ -53,40 +53,40 @@
     /// Calls fail from now on.
     Failing,
     /// Calls are answered again, after this long.
-    Back {
+    Recovered {
         /// How long they failed.
         for_ms: u64,
     },
 }
 
 impl StoreHealth {
-    /// A call is made.
-    pub fn began(&mut self, now_ms: u64) -> CallKey {
+    /// Records that a call is made.
+    pub fn call_started(&mut self, now_ms: u64) -> CallKey {
         self.last_call += 1;
         self.under_way.insert(self.last_call, now_ms);
         CallKey(self.last_call)
     }
 
-    /// A call is over, or given up.
-    pub fn ended(&mut self, call: CallKey) {
+    /// Records that a call was answered or abandoned.
+    pub fn call_finished(&mut self, call: CallKey) {
         self.under_way.remove(&call.0);
     }
 
-    /// An answer took so long.
-    pub fn took(&mut self, took_ms: u64) {
+    /// Records how long an answer took.
+    pub fn record_latency(&mut self, took_ms: u64) {
         self.usual_ms += LATENCY_WEIGHT * (took_ms as f64 - self.usual_ms);
     }
 
     /// How long to wait for an answer before a call is made again.
-    pub fn patience_ms(&self) -> u64 {
-        let patience_ms = LEAST_PATIENCE_MS + PATIENCE_FACTOR * self.usual_ms;
-        patience_ms.min(MOST_PATIENCE_MS) as u64
+    pub fn answer_timeout_ms(&self) -> u64 {
+        let answer_timeout_ms = LEAST_PATIENCE_MS + PATIENCE_FACTOR * self.usual_ms;
+        answer_timeout_ms.min(MOST_PATIENCE_MS) as u64
     }
 
-    /// A call was answered, or not.
-    pub fn went(&mut self, well: bool, now_ms: u64) -> Option<HealthChange> {
+    /// Records whether a call was answered.
+    pub fn record_outcome(&mut self, well: bool, now_ms: u64) -> Option<HealthChange> {
         if well {
-            if self.is_away(now_ms) || self.failed_in_silence() {
+            if self.is_unavailable(now_ms) || self.failed_in_silence() {
                 self.silence_over_ms = now_ms;
             }
             self.answered_ms = now_ms;
@@ -94,9 +94,9 @@
         match (well, self.failed_since_ms) {
             (true, Some(since_ms)) => {
                 self.failed_since_ms = None;
-                self.back_ms = now_ms;
+                self.recovered_ms = now_ms;
                 let for_ms = now_ms.saturating_sub(since_ms);
-                Some(HealthChange::Back { for_ms })
+                Some(HealthChange::Recovered { for_ms })
             }
             (false, None) => {
                 self.failed_since_ms = Some(now_ms);
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Whether it has failed for a while.
-    pub fn is_lost(&self, now_ms: u64) -> bool {
+    /// Whether calls have failed for so long that the store counts as down.
+    pub fn is_down(&self, now_ms: u64) -> bool {
         let since_ms = self.failed_since_ms;
         since_ms.is_some_and(|since_ms| now_ms >= since_ms + LOST_MS)
     }
@@ -120,9 +120,9 @@
         since_ms.is_some_and(|since_ms| since_ms >= self.answered_ms + SILENT_MS)
     }
 
-    /// When it last was back; 0 for never away.
-    pub fn back_ms(&self) -> u64 {
-        self.back_ms
+    /// When it last recovered; 0 for never down.
+    pub fn recovered_ms(&self) -> u64 {
+        self.recovered_ms
     }
 
     /// For how long a call waits while no other was answered.
@@ -138,13 +138,13 @@
     }
 
     /// Whether a job that is sent now would wait in vain.
-    pub fn is_away(&self, now_ms: u64) -> bool {
+    pub fn is_unavailable(&self, now_ms: u64) -> bool {
         let silent_ms = SILENT_MS.max((PATIENCE_FACTOR * self.usual_ms) as u64);
-        self.is_lost(now_ms) || self.unanswered_ms(now_ms) >= silent_ms
+        self.is_down(now_ms) || self.unanswered_ms(now_ms) >= silent_ms
     }
 
-    /// Whether a call made at `began_ms` fell into a silence that is over.
-    pub fn fell_silent(&self, began_ms: u64) -> bool {
+    /// Whether a call made at `began_ms` was lost in an outage that is over.
+    pub fn is_lost_in_outage(&self, began_ms: u64) -> bool {
         began_ms + BEFORE_RETURN_MS < self.silence_over_ms
     }
 }
--- a/src/cluster/store_probe.rs
+++ b/src/cluster/store_probe.rs
@@ -25,7 +25,7 @@
             metrics::counter!("fuchsiaslip_store_probes_total").increment(1);
             // Without an answer nothing is learnt that is not known.
             if node.store.probe(PROBE_LIMIT_MS).await.is_ok() {
-                node.store_went(true);
+                node.record_store_outcome(true);
             }
         });
     }
--- a/src/cluster/store_types.rs
+++ b/src/cluster/store_types.rs
@@ -1,4 +1,4 @@
-//! What the product asks of a platform's store, as typed calls and answers.
+//! Types of the store's calls and answers, independent of the platform's protocol.
 
 use bytes::Bytes;
 
@@ -24,9 +24,9 @@
     pub revision: u64,
 }
 
-/// Values under a prefix.
+/// The values under a key prefix.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Range {
+pub struct StoredRange {
     /// The values.
     pub items: Vec<StoredItem>,
     /// The store's revision before the first of them was read.
@@ -47,9 +47,9 @@
     },
 }
 
-/// The answer to a watch.
+/// The result of a watch call.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes, perhaps none, and where to go on.
     Changes {
         /// What changed.
@@ -77,9 +77,9 @@
 /// Most entries of one transaction, of each sort together.
 pub const MAX_TRANSACTION_ENTRIES: usize = 32;
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Committed {
+pub enum CommitResult {
     /// It was carried out at this revision.
     Done {
         /// The revision.
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -1,9 +1,9 @@
-//! Following what changes in the store.
+//! Watches the store for changes.
 
 use super::emptying;
 use super::invalid_values::{
+    InvalidReason, //
     StoredKind,
-    Unused, //
 };
 use super::node::{
     KnownOwner,
@@ -25,12 +25,12 @@
     read_job_key, //
 };
 use super::store_types::{
-    Range,
     StoreError,
     StoreEvent,
     StoredItem,
+    StoredRange,
     Transaction,
-    Watched, //
+    WatchResult, //
 };
 use super::stored_inputs::{
     wave_inputs,
@@ -84,13 +84,13 @@
         let step = match revision {
             // Sent into a silence of the store, the read would wait for its own
             // limit: daemons had no configuration for a second after the others.
-            None => node.unless_silenced(read_operators(&node)).await,
+            None => node.abandon_after_outage(read_operators(&node)).await,
             Some(revision) => {
                 let watch = watch_operators(&node, revision, wait_ms);
-                node.unless_silenced(watch).await
+                node.abandon_after_outage(watch).await
             }
         };
-        node.store_went(step.is_ok());
+        node.record_store_outcome(step.is_ok());
         // After a failure the next watch does not wait for news: an owner gives
         // starts only while it is certain of the orders.
         wait_ms = if step.is_ok() { WATCH_WAIT_MS } else { 0 };
@@ -123,10 +123,10 @@
 
 /// Tells the owner of listed waves that are not completed: taken for open again, one
 /// would have its machines emptied a second time.
-async fn take_listed_waves(node: &Node, listed: &Range) -> Result<(), StoreError> {
+async fn take_listed_waves(node: &Node, listed: &StoredRange) -> Result<(), StoreError> {
     let waves = listed.items.iter();
     let waves = waves.filter(|item| item.key.starts_with(WAVES_PREFIX));
-    let waves = Range {
+    let waves = StoredRange {
         items: waves.cloned().collect(),
         revision: listed.revision,
     };
@@ -136,7 +136,7 @@
     let epoch = node.epoch();
     let states = node.store.range(WAVE_STATES_PREFIX, false).await?;
     for input in wave_inputs(node, &waves, &states) {
-        node.control.take(epoch, input);
+        node.control.send_input(epoch, input);
     }
     Ok(())
 }
@@ -149,7 +149,7 @@
             let listed = node.store.range(WAVES_PREFIX, false).await?;
             take_listed_waves(&node, &listed).await
         };
-        if node.unless_silenced(read).await.is_ok() {
+        if node.abandon_after_outage(read).await.is_ok() {
             return;
         }
         node.timer.after(AGAIN_MS).await;
@@ -160,7 +160,7 @@
 /// starts nothing, and one that knows an old one may judge by what was changed; a
 /// takeover does not wait for it, since leases run out meanwhile.
 pub async fn refresh_configuration(node: Rc<Node>) {
-    if let Err(error) = node.unless_silenced(read_operators(&node)).await {
+    if let Err(error) = node.abandon_after_outage(read_operators(&node)).await {
         log::debug!("the configuration could not be read at the takeover: {error}");
     }
 }
@@ -173,8 +173,8 @@
     let asked_ms = node.now_ms();
     let watch = node.store.watch(OPERATOR_PREFIX, revision, wait_ms);
     match watch.await? {
-        Watched::HistoryGone => Ok(None),
-        Watched::Changes { events, revision } => {
+        WatchResult::HistoryGone => Ok(None),
+        WatchResult::Changes { events, revision } => {
             // Orders first: what follows may take long.
             emptying::take_changes(node, &events, revision, asked_ms);
             for event in &events {
@@ -203,13 +203,14 @@
         return;
     }
     if let Some(order) = wave_order(node, item) {
-        node.control.take(node.epoch(), Input::UpkeepWave(order));
+        node.control
+            .send_input(node.epoch(), Input::UpkeepWave(order));
     }
 }
 
 fn take_configuration(node: &Node, item: &StoredItem) {
     let read = decode_configuration(&item.value);
-    if let Some(configuration) = node.used(StoredKind::Configuration, item, read) {
+    if let Some(configuration) = node.valid_value(StoredKind::Configuration, item, read) {
         node.configure(configuration);
     }
 }
@@ -218,7 +219,7 @@
 pub async fn members(node: Rc<Node>) {
     let (mut lease, mut list_at_ms) = (0, 0);
     loop {
-        let mut listed = node.asking_store(stay_listed(&node, &mut lease)).await;
+        let mut listed = node.call_store(stay_listed(&node, &mut lease)).await;
         if listed.is_ok() && node.now_ms() >= list_at_ms {
             listed = list_members(&node).await;
             let count = node.others().len() as u64;
@@ -271,7 +272,8 @@
     let mut names = Vec::new();
     for item in &members.items {
         let name = item.key.strip_prefix(MEMBERS_PREFIX).unwrap_or_default();
-        let record: Option<MemberRecord> = node.used(StoredKind::Member, item, decode(&item.value));
+        let record: Option<MemberRecord> =
+            node.valid_value(StoredKind::Member, item, decode(&item.value));
         let address = record.and_then(|record| record.address.parse().ok());
         let Some(address) = address.filter(|_| name != node.settings.daemon) else {
             continue;
@@ -284,10 +286,10 @@
                 boot: 0,
                 heard_ms: 0,
                 has_store: true,
-                storeless_since_ms: None,
+                store_lost_since_ms: None,
                 draining: false,
-                strength: 0,
-                gap_ms: 0,
+                cpu_millis: 0,
+                interval_ms: 0,
                 listed: true,
             },
         );
@@ -295,8 +297,8 @@
     node.keep_listed(&names);
     if node.owner().is_none() {
         let root = node.store.get(ROOT_KEY).await?;
-        let root =
-            root.and_then(|item| node.used(StoredKind::Root, &item, decode_root(&item.value)));
+        let root = root
+            .and_then(|item| node.valid_value(StoredKind::Root, &item, decode_root(&item.value)));
         learn_root(node, &root.unwrap_or_default());
     }
     Ok(())
@@ -330,16 +332,16 @@
             false => WATCH_WAIT_MS,
         };
         let watch = node.store.watch(JOBS_PREFIX, revision, wait_ms);
-        let watched = node.unless_silenced(watch).await;
+        let watched = node.abandon_after_outage(watch).await;
         let events = match watched {
-            Ok(Watched::Changes {
+            Ok(WatchResult::Changes {
                 events,
                 revision: next,
             }) => {
                 revision = next;
                 events
             }
-            Ok(Watched::HistoryGone) => match node.store.range(JOBS_PREFIX, false).await {
+            Ok(WatchResult::HistoryGone) => match node.store.range(JOBS_PREFIX, false).await {
                 Ok(range) => {
                     revision = range.revision;
                     range.items.into_iter().map(StoreEvent::Put).collect()
@@ -359,7 +361,7 @@
                 take_job_value(&node, epoch, &item);
             }
         }
-        node.control.take(epoch, Input::JobsRead { sent_ms });
+        node.control.send_input(epoch, Input::JobsRead { sent_ms });
     }
 }
 
@@ -368,7 +370,7 @@
     match read_job_key(&item.key) {
         Some(JobKeyKind::Job(id)) => {
             let read = decode_job_record(&item.value);
-            let input = match node.used(StoredKind::Job, item, read) {
+            let input = match node.valid_value(StoredKind::Job, item, read) {
                 Some(record) => Input::Job {
                     id,
                     record: Arc::new(record),
@@ -379,24 +381,24 @@
                     Input::JobUnreadable(id)
                 }
             };
-            node.control.take(epoch, input);
+            node.control.send_input(epoch, input);
         }
-        Some(JobKeyKind::Cancelled(id)) => node.control.take(epoch, Input::JobCancelled(id)),
-        None => node.note_unused(StoredKind::Job, item, &Unused::because("bad_name")),
+        Some(JobKeyKind::Cancelled(id)) => node.control.send_input(epoch, Input::JobCancelled(id)),
+        None => node.report_invalid(StoredKind::Job, item, &InvalidReason::because("bad_name")),
     }
 }
 
 /// Follows the workers' registrations, for as long as this daemon owns.
-pub async fn workers(node: Rc<Node>, epoch: u64, range: Range) {
+pub async fn workers(node: Rc<Node>, epoch: u64, range: StoredRange) {
     let mut revision = range.revision;
     let mut known: BTreeSet<String> = range.items.into_iter().map(|item| item.key).collect();
     while node.epoch() == epoch {
         let sent_ms = node.now_ms();
         let read = Input::EntriesRead { sent_ms };
         let watch = node.store.watch(WORKERS_PREFIX, revision, WATCH_WAIT_MS);
-        let watched = node.unless_silenced(watch).await;
+        let watched = node.abandon_after_outage(watch).await;
         match watched {
-            Ok(Watched::Changes {
+            Ok(WatchResult::Changes {
                 events,
                 revision: next,
             }) => {
@@ -404,13 +406,13 @@
                 for event in events {
                     take_worker_event(&node, epoch, event, &mut known);
                 }
-                node.control.take(epoch, read);
+                node.control.send_input(epoch, read);
             }
-            Ok(Watched::HistoryGone) => {
+            Ok(WatchResult::HistoryGone) => {
                 if let Ok(range) = node.store.range(WORKERS_PREFIX, false).await {
                     revision = range.revision;
                     relist(&node, epoch, &range, &mut known);
-                    node.control.take(epoch, read);
+                    node.control.send_input(epoch, read);
                 }
             }
             Err(_) => {
@@ -424,7 +426,7 @@
     match event {
         StoreEvent::Put(item) => {
             if let Some(input) = worker_input(node, &item) {
-                node.control.take(epoch, input);
+                node.control.send_input(epoch, input);
             }
             known.insert(item.key);
         }
@@ -435,9 +437,9 @@
     }
 }
 
-fn relist(node: &Node, epoch: u64, range: &Range, known: &mut BTreeSet<String>) {
+fn relist(node: &Node, epoch: u64, range: &StoredRange, known: &mut BTreeSet<String>) {
     for input in worker_inputs(node, range) {
-        node.control.take(epoch, input);
+        node.control.send_input(epoch, input);
     }
     let listed: BTreeSet<String> = range.items.iter().map(|item| item.key.clone()).collect();
     for key in known.difference(&listed) {
@@ -449,6 +451,6 @@
 fn unlist(node: &Node, epoch: u64, key: &str) {
     if let Some(worker_name) = key.strip_prefix(WORKERS_PREFIX) {
         let input = Input::WorkerUnlisted(worker_name.to_owned());
-        node.control.take(epoch, input);
+        node.control.send_input(epoch, input);
     }
 }
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -1,12 +1,12 @@
-//! What is stored, as news for the scheduler.
+//! Converts stored values into inputs for the scheduler.
 //!
 //! A new owner reads lists of everything, and an owner follows single changes:
 //! both translate here, so a value means the same to them. A value that cannot be
 //! used is told to on-call.
 
 use super::invalid_values::{
+    InvalidReason, //
     StoredKind,
-    Unused, //
 };
 use super::node::Node;
 use super::pending_writes::{
@@ -26,8 +26,8 @@
     read_job_key, //
 };
 use super::store_types::{
-    Range,
     StoredItem, //
+    StoredRange,
 };
 use crate::core::JobId;
 use crate::platform::{
@@ -51,11 +51,11 @@
 pub type ClosedRecords = HashMap<String, Option<ClosedRecord>>;
 
 /// What is stored of closed workers. The revisions are noted for later writes.
-pub fn closed_records(node: &Node, closed: &Range) -> ClosedRecords {
+pub fn closed_records(node: &Node, closed: &StoredRange) -> ClosedRecords {
     let records = closed.items.iter().map(|item| {
-        node.ledger.note_revision(&item.key, item.revision);
+        node.pending_writes.note_revision(&item.key, item.revision);
         let worker_name = item.key.strip_prefix(CLOSED_PREFIX).unwrap_or_default();
-        let record = node.used(StoredKind::Closed, item, decode(&item.value));
+        let record = node.valid_value(StoredKind::Closed, item, decode(&item.value));
         (worker_name.to_owned(), record)
     });
     records.collect()
@@ -83,7 +83,7 @@
     // What is left names workers that are gone.
     let left = records.into_iter().filter(|(_, record)| record.is_some());
     changed.extend(left.map(|(worker_name, _)| (worker_name, None)));
-    node.ledger.add(Changes {
+    node.pending_writes.add(Changes {
         closed: changed,
         ..Changes::default()
     });
@@ -101,20 +101,20 @@
 }
 
 /// What an earlier owner stored of data centres that get no new tasks.
-pub fn emptied_records(node: &Node, emptied: &Range) -> Vec<FoundEmptied> {
+pub fn emptied_records(node: &Node, emptied: &StoredRange) -> Vec<FoundEmptied> {
     let items = emptied.items.iter();
     let records = items.map(|item| {
-        let record = node.used(StoredKind::Emptied, item, decode(&item.value));
+        let record = node.valid_value(StoredKind::Emptied, item, decode(&item.value));
         (item.key.clone(), item.revision, record)
     });
     records.collect()
 }
 
 /// The waves of upkeep that are not completed.
-pub fn wave_inputs(node: &Node, waves: &Range, states: &Range) -> Vec<Input> {
+pub fn wave_inputs(node: &Node, waves: &StoredRange, states: &StoredRange) -> Vec<Input> {
     let is_completed = |item: &&StoredItem| {
         let read = is_wave_completed(&item.value);
-        node.used(StoredKind::WaveState, item, read) == Some(true)
+        node.valid_value(StoredKind::WaveState, item, read) == Some(true)
     };
     let completed = states.items.iter().filter(is_completed);
     let completed: Vec<&str> = completed.map(|item| item.key.as_str()).collect();
@@ -128,7 +128,7 @@
 
 /// A wave; one that cannot be used is told and passed over.
 pub fn wave_order(node: &Node, item: &StoredItem) -> Option<WaveOrder> {
-    node.used(StoredKind::Wave, item, read_wave(item))
+    node.valid_value(StoredKind::Wave, item, read_wave(item))
 }
 
 /// Reads a wave.
@@ -136,16 +136,16 @@
 /// # Errors
 ///
 /// It is none, or its key names another.
-pub fn read_wave(item: &StoredItem) -> Result<WaveOrder, Unused> {
+pub fn read_wave(item: &StoredItem) -> Result<WaveOrder, InvalidReason> {
     let order = decode_wave(&item.value)?;
     match item.key.strip_prefix(WAVES_PREFIX) == Some(&order.number.to_string()) {
         true => Ok(order),
-        false => Err(Unused::because("bad_name")),
+        false => Err(InvalidReason::because("bad_name")),
     }
 }
 
 /// The registrations of workers as news.
-pub fn worker_inputs(node: &Node, workers: &Range) -> Vec<Input> {
+pub fn worker_inputs(node: &Node, workers: &StoredRange) -> Vec<Input> {
     let rows = workers.items.iter();
     rows.filter_map(|item| worker_input(node, item)).collect()
 }
@@ -158,7 +158,7 @@
         Ok(info) => Input::WorkerRegistered(info),
         Err(error) => {
             let reason = error.reason();
-            node.note_unused(StoredKind::Worker, item, &error.into());
+            node.report_invalid(StoredKind::Worker, item, &error.into());
             Input::WorkerEntryUnusable {
                 worker_name: worker_name.to_owned(),
                 reason,
@@ -170,23 +170,27 @@
 /// Stored jobs with their progress and cancellations as news. A job of which a
 /// value does not read is news too: taken for one without progress, what is done
 /// of it would run again.
-pub fn job_inputs(node: &Node, jobs: &Range, progress: &Range) -> Vec<Input> {
+pub fn job_inputs(node: &Node, jobs: &StoredRange, progress: &StoredRange) -> Vec<Input> {
     let mut noted: HashMap<JobId, Option<ProgressRecord>> = HashMap::new();
     for item in &progress.items {
-        node.ledger.note_revision(&item.key, item.revision);
+        node.pending_writes.note_revision(&item.key, item.revision);
         let Some(job) = item.key.strip_prefix(PROGRESS_PREFIX).and_then(job_id) else {
-            node.note_unused(StoredKind::Progress, item, &Unused::because("bad_name"));
+            node.report_invalid(
+                StoredKind::Progress,
+                item,
+                &InvalidReason::because("bad_name"),
+            );
             continue;
         };
         let read = decode_progress(&item.value);
-        noted.insert(job, node.used(StoredKind::Progress, item, read));
+        noted.insert(job, node.valid_value(StoredKind::Progress, item, read));
     }
     let mut inputs = Vec::with_capacity(jobs.items.len());
     for item in &jobs.items {
         match read_job_key(&item.key) {
             Some(JobKeyKind::Job(id)) => {
                 let read = decode_job_record(&item.value);
-                let record = node.used(StoredKind::Job, item, read);
+                let record = node.valid_value(StoredKind::Job, item, read);
                 match (record, noted.remove(&id)) {
                     (Some(record), None) => inputs.push(job_input(id, record, None)),
                     (Some(record), Some(Some(progress))) => {
@@ -199,7 +203,7 @@
                 }
             }
             Some(JobKeyKind::Cancelled(id)) => inputs.push(Input::JobCancelled(id)),
-            None => node.note_unused(StoredKind::Job, item, &Unused::because("bad_name")),
+            None => node.report_invalid(StoredKind::Job, item, &InvalidReason::because("bad_name")),
         }
     }
     inputs
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -7,7 +7,7 @@
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
-use super::peer_connections::view_of;
+use super::peer_connections::status_of;
 use super::peer_frame::{
     JobBytes,
     PeerBody, //
@@ -22,7 +22,7 @@
     progress_key, //
 };
 use super::store_types::{
-    Committed,
+    CommitResult,
     StoreError,
     Transaction, //
 };
@@ -30,7 +30,7 @@
 use crate::scheduler::{
     Input,
     JobRecord,
-    JobView, //
+    JobStatus, //
 };
 use bytes::Bytes;
 use std::rc::Rc;
@@ -47,9 +47,9 @@
 const OWNER_WAIT_MS: u64 = 900;
 const OWNER_AGAIN_MS: u64 = 60;
 
-/// What became of storing something.
+/// The outcome of storing a job or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stored {
+pub enum StorageOutcome {
     /// It is stored.
     Done,
     /// It is not and will not be.
@@ -60,7 +60,7 @@
     NoSuchJob,
 }
 
-impl Stored {
+impl StorageOutcome {
     /// The outcome as a number, for peers.
     pub fn code(self) -> u32 {
         match self {
@@ -83,16 +83,21 @@
 }
 
 /// Accepts a job: stores it, here or through a peer, and tells the owner.
-pub async fn accept(node: &Rc<Node>, job: JobId, record: JobRecord, until_ms: u64) -> Stored {
+pub async fn accept(
+    node: &Rc<Node>,
+    job: JobId,
+    record: JobRecord,
+    until_ms: u64,
+) -> StorageOutcome {
     let bytes = encode(&record);
     // A store that is known not to answer is not tried: the refusal is true
     // and at once, where waiting would end without a known outcome.
-    let mut stored = match node.takes_jobs() {
+    let mut stored = match node.accepts_jobs() {
         true => store_job(node, job, bytes.clone(), until_ms).await,
-        false => Stored::Refused,
+        false => StorageOutcome::Refused,
     };
-    if stored == Stored::Refused
-        && let Some(peer) = node.fit_peer()
+    if stored == StorageOutcome::Refused
+        && let Some(peer) = node.eligible_peer()
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "submit").increment(1);
         let body = PeerBody::Submit(JobBytes {
@@ -100,9 +105,9 @@
             record: bytes.to_vec(),
         });
         stored = forwarded(node.peers.ask(peer, body, FORWARD_LIMIT_MS).await);
-    } else if stored == Stored::Done && node.owns() {
+    } else if stored == StorageOutcome::Done && node.owns() {
         take_job(node, job, record);
-    } else if stored == Stored::Done {
+    } else if stored == StorageOutcome::Done {
         tell_owner_of_job(node, job, bytes);
     }
     stored
@@ -115,44 +120,51 @@
         record: Arc::new(record),
         progress: None,
     };
-    node.control.take(node.epoch(), input);
+    node.control.send_input(node.epoch(), input);
 }
 
 /// Stores a job in the store.
-pub async fn store_job(node: &Rc<Node>, job: JobId, record: Bytes, until_ms: u64) -> Stored {
+pub async fn store_job(
+    node: &Rc<Node>,
+    job: JobId,
+    record: Bytes,
+    until_ms: u64,
+) -> StorageOutcome {
     let transaction = Transaction {
         expected: vec![(job_key(job), 0)],
         puts: vec![(job_key(job), record)],
         ..Transaction::default()
     };
     let mut sure = true;
-    let mut limit_ms = node.store_patience_ms();
+    let mut limit_ms = node.store_timeout_ms();
     loop {
         let call = node.store.commit_within(&transaction, limit_ms);
-        let outcome = node.asking_store(call).await;
+        let outcome = node.call_store(call).await;
         // A store that is slow, or a large job on a slow link, gets its time.
         limit_ms *= 2;
         match outcome {
             // A key that is there is this very job, sent again.
-            Ok(Committed::Done { .. } | Committed::Conflict(_)) => return Stored::Done,
-            Ok(Committed::LeaseOver) => return Stored::Refused,
-            Err(StoreError::Refused) if sure => return Stored::Refused,
+            Ok(CommitResult::Done { .. } | CommitResult::Conflict(_)) => {
+                return StorageOutcome::Done;
+            }
+            Ok(CommitResult::LeaseOver) => return StorageOutcome::Refused,
+            Err(StoreError::Refused) if sure => return StorageOutcome::Refused,
             Err(StoreError::Refused) => {}
             Err(StoreError::NoAnswer) => sure = false,
         }
         // A store that is away may be so for seconds: the client is told at once
         // that nobody knows, and asks again with the same name.
-        if node.now_ms() + AGAIN_MS >= until_ms || !node.takes_jobs() {
-            return Stored::Unknown;
+        if node.now_ms() + AGAIN_MS >= until_ms || !node.accepts_jobs() {
+            return StorageOutcome::Unknown;
         }
         node.timer.after(AGAIN_MS).await;
     }
 }
 
-fn forwarded(answer: Option<PeerBody>) -> Stored {
+fn forwarded(answer: Option<PeerBody>) -> StorageOutcome {
     match answer {
-        Some(PeerBody::Stored(code)) => Stored::of_code(code),
-        _ => Stored::Unknown,
+        Some(PeerBody::StorageOutcome(code)) => StorageOutcome::of_code(code),
+        _ => StorageOutcome::Unknown,
     }
 }
 
@@ -165,7 +177,8 @@
             // Whoever follows the store tells of it.
             Err(_) => {
                 node.note_unreadable(job);
-                node.control.take(node.epoch(), Input::JobUnreadable(job));
+                node.control
+                    .send_input(node.epoch(), Input::JobUnreadable(job));
             }
         }
         return;
@@ -196,18 +209,18 @@
 }
 
 /// Cancels a job: stores that, here or through a peer, and tells the owner.
-pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> Stored {
-    let mut stored = match node.takes_jobs() {
+pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
+    let mut stored = match node.accepts_jobs() {
         true => store_cancellation(node, job, until_ms).await,
-        false => Stored::Refused,
+        false => StorageOutcome::Refused,
     };
-    if stored == Stored::Refused
-        && let Some(peer) = node.fit_peer()
+    if stored == StorageOutcome::Refused
+        && let Some(peer) = node.eligible_peer()
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "cancel").increment(1);
         let body = PeerBody::Cancel(job.0);
         stored = forwarded(node.peers.ask(peer, body, FORWARD_LIMIT_MS).await);
-    } else if stored == Stored::Done {
+    } else if stored == StorageOutcome::Done {
         tell_owner_of_cancellation(node, job);
     }
     stored
@@ -216,22 +229,23 @@
 /// Tells the owner of a stored cancellation.
 pub fn tell_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
     if node.owns() {
-        node.control.take(node.epoch(), Input::JobCancelled(job));
+        node.control
+            .send_input(node.epoch(), Input::JobCancelled(job));
     } else {
         tell_owner(node, PeerBody::Cancelled(job.0));
     }
 }
 
 /// Stores a cancellation in the store.
-pub async fn store_cancellation(node: &Rc<Node>, job: JobId, until_ms: u64) -> Stored {
+pub async fn store_cancellation(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
     loop {
-        let outcome = node.asking_store(try_cancellation(node, job)).await;
+        let outcome = node.call_store(try_cancellation(node, job)).await;
         match outcome {
             Ok(stored) => return stored,
             // Cancelling again does no harm, so a refusal may be told as one.
-            Err(StoreError::Refused) => return Stored::Refused,
+            Err(StoreError::Refused) => return StorageOutcome::Refused,
             Err(StoreError::NoAnswer) if node.now_ms() + AGAIN_MS >= until_ms => {
-                return Stored::Unknown;
+                return StorageOutcome::Unknown;
             }
             Err(StoreError::NoAnswer) => {
                 node.timer.after(AGAIN_MS).await;
@@ -240,9 +254,9 @@
     }
 }
 
-async fn try_cancellation(node: &Node, job: JobId) -> Result<Stored, StoreError> {
+async fn try_cancellation(node: &Node, job: JobId) -> Result<StorageOutcome, StoreError> {
     let Some(item) = node.store.get(&job_key(job)).await? else {
-        return Ok(Stored::NoSuchJob);
+        return Ok(StorageOutcome::NoSuchJob);
     };
     let transaction = Transaction {
         expected: vec![(item.key, item.revision)],
@@ -250,14 +264,14 @@
         ..Transaction::default()
     };
     match node.store.commit(&transaction).await? {
-        Committed::Done { .. } => Ok(Stored::Done),
+        CommitResult::Done { .. } => Ok(StorageOutcome::Done),
         // The job was forgotten in between.
-        Committed::Conflict(_) | Committed::LeaseOver => Ok(Stored::NoSuchJob),
+        CommitResult::Conflict(_) | CommitResult::LeaseOver => Ok(StorageOutcome::NoSuchJob),
     }
 }
 
 /// What a caller may be told of a job; the outer `None` when nobody can say.
-pub async fn view(node: &Rc<Node>, job: JobId, until_ms: u64) -> Option<Option<JobView>> {
+pub async fn job_status(node: &Rc<Node>, job: JobId, until_ms: u64) -> Option<Option<JobStatus>> {
     let wait_until_ms = until_ms.min(node.now_ms() + OWNER_WAIT_MS);
     loop {
         match ask_owner(node, job).await {
@@ -270,49 +284,49 @@
             }
         }
     }
-    view_in_store(node, job).await.ok()
+    status_in_store(node, job).await.ok()
 }
 
-async fn ask_owner(node: &Rc<Node>, job: JobId) -> Option<Option<JobView>> {
+async fn ask_owner(node: &Rc<Node>, job: JobId) -> Option<Option<JobStatus>> {
     if node.owns() {
-        return node.control.view(job).await;
+        return node.control.job_status(job).await;
     }
     let owner = node.owner()?;
     let answer = node
         .peers
-        .ask(owner.address, PeerBody::ViewOf(job.0), OWNER_LIMIT_MS);
+        .ask(owner.address, PeerBody::JobStatusOf(job.0), OWNER_LIMIT_MS);
     match answer.await? {
-        PeerBody::View(code) => Some(view_of(code)),
+        PeerBody::JobStatus(code) => Some(status_of(code)),
         _ => None,
     }
 }
 
 /// What the store tells of a job; ends are stored before they are shown.
-async fn view_in_store(node: &Rc<Node>, job: JobId) -> Result<Option<JobView>, StoreError> {
+async fn status_in_store(node: &Rc<Node>, job: JobId) -> Result<Option<JobStatus>, StoreError> {
     use crate::scheduler::FinalState;
     // The job is read last: all its values are removed together, so a job that
     // is still there had its progress and its cancellation before. Read first,
     // it could be told to the owner as new after it was done and removed.
     let key = progress_key(job);
     let progress = node.store.get(&key).await?;
-    let progress =
-        progress.map(|item| node.used(StoredKind::Progress, &item, decode_progress(&item.value)));
+    let progress = progress
+        .map(|item| node.valid_value(StoredKind::Progress, &item, decode_progress(&item.value)));
     let cancelled = node.store.get(&cancelled_key(job)).await?.is_some();
     let Some(item) = node.store.get(&job_key(job)).await? else {
         return Ok(None);
     };
     if cancelled {
-        return Ok(Some(JobView::Cancelled));
+        return Ok(Some(JobStatus::Cancelled));
     }
     let view = match progress.map(|progress| progress.and_then(|progress| progress.ended)) {
-        Some(Some(FinalState::Completed)) => JobView::Completed,
-        Some(Some(FinalState::Failed)) => JobView::Failed,
+        Some(Some(FinalState::Completed)) => JobStatus::Completed,
+        Some(Some(FinalState::Failed)) => JobStatus::Failed,
         // Also if it does not read: something of the job has begun, and whether
         // it ended is not known.
-        Some(None) => JobView::Running,
-        None => JobView::Queued,
+        Some(None) => JobStatus::Running,
+        None => JobStatus::Queued,
     };
-    if view == JobView::Queued {
+    if view == JobStatus::Queued {
         tell_owner_of_job(node, job, item.value);
     }
     Ok(Some(view))
@@ -324,9 +338,9 @@
         let answer = if node.owns() {
             node.control.pending(queue).await
         } else if let Some(owner) = node.owner() {
-            let body = PeerBody::PendingOf(queue.to_owned());
+            let body = PeerBody::PendingCountOf(queue.to_owned());
             match node.peers.ask(owner.address, body, OWNER_LIMIT_MS).await {
-                Some(PeerBody::Pending(pending)) => Some(pending),
+                Some(PeerBody::PendingCount(pending)) => Some(pending),
                 _ => None,
             }
         } else {
@@ -343,39 +357,43 @@
 pub async fn answer(node: Rc<Node>, body: PeerBody) -> Option<PeerBody> {
     let until_ms = node.now_ms() + FORWARD_LIMIT_MS;
     match body {
-        PeerBody::ViewOf(job) => {
-            let view = node.control.view(JobId(job)).await?;
-            Some(PeerBody::View(super::peer_connections::code_of(view)))
+        PeerBody::JobStatusOf(job) => {
+            let view = node.control.job_status(JobId(job)).await?;
+            Some(PeerBody::JobStatus(super::peer_connections::code_of(view)))
         }
-        PeerBody::PendingOf(queue) => node.control.pending(&queue).await.map(PeerBody::Pending),
+        PeerBody::PendingCountOf(queue) => node
+            .control
+            .pending(&queue)
+            .await
+            .map(PeerBody::PendingCount),
         PeerBody::Accepted(job) => {
             if !node.owns() {
                 return None;
             }
             tell_owner_of_job(&node, JobId(job.job), job.record.into());
-            Some(PeerBody::Stored(Stored::Done.code()))
+            Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Cancelled(job) => {
             if !node.owns() {
                 return None;
             }
             tell_owner_of_cancellation(&node, JobId(job));
-            Some(PeerBody::Stored(Stored::Done.code()))
+            Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Submit(job) => {
             let (id, record) = (JobId(job.job), Bytes::from(job.record));
             let stored = store_job(&node, id, record.clone(), until_ms).await;
-            if stored == Stored::Done {
+            if stored == StorageOutcome::Done {
                 tell_owner_of_job(&node, id, record);
             }
-            Some(PeerBody::Stored(stored.code()))
+            Some(PeerBody::StorageOutcome(stored.code()))
         }
         PeerBody::Cancel(job) => {
             let stored = store_cancellation(&node, JobId(job), until_ms).await;
-            if stored == Stored::Done {
+            if stored == StorageOutcome::Done {
                 tell_owner_of_cancellation(&node, JobId(job));
             }
-            Some(PeerBody::Stored(stored.code()))
+            Some(PeerBody::StorageOutcome(stored.code()))
         }
         PeerBody::ConfigurationAbove(version) => {
             let own = node.configuration();
@@ -383,9 +401,9 @@
             let bytes = if newer { encode(&*own) } else { Bytes::new() };
             Some(PeerBody::Configuration(bytes.to_vec()))
         }
-        PeerBody::View(_)
-        | PeerBody::Pending(_)
-        | PeerBody::Stored(_)
+        PeerBody::JobStatus(_)
+        | PeerBody::PendingCount(_)
+        | PeerBody::StorageOutcome(_)
         | PeerBody::Configuration(_) => {
             log::debug!("an answer came as a question; the key {ROOT_KEY} tells who owns");
             None
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -43,7 +43,7 @@
             match read(&node, job).await {
                 Ok(Some(input)) if node.epoch() == epoch => {
                     node.job_readable(job);
-                    node.control.take(epoch, input);
+                    node.control.send_input(epoch, input);
                 }
                 _ => {}
             }
@@ -57,13 +57,14 @@
     let Some(item) = node.store.get(&job_key(job)).await? else {
         return Ok(Some(Input::JobCancelled(job)));
     };
-    let record = node.used(StoredKind::Job, &item, decode_job_record(&item.value));
+    let record = node.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
     let noted = match progress {
         None => Some(None),
         Some(item) => {
-            node.ledger.note_revision(&item.key, item.revision);
+            node.pending_writes.note_revision(&item.key, item.revision);
             let read = decode_progress(&item.value);
-            node.used(StoredKind::Progress, &item, read).map(Some)
+            node.valid_value(StoredKind::Progress, &item, read)
+                .map(Some)
         }
     };
     let (Some(record), Some(progress)) = (record, noted) else {
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -2,7 +2,7 @@
 
 use crate::scheduler::{
     JobSpec,
-    JobView,
+    JobStatus,
     Resources,
     Schedule,
     StepSpec, //
@@ -125,13 +125,13 @@
 }
 
 /// What a client is told of its job.
-pub fn encode_state(view: JobView) -> Vec<u8> {
+pub fn encode_state(view: JobStatus) -> Vec<u8> {
     let state = match view {
-        JobView::Queued => "queued",
-        JobView::Running => "running",
-        JobView::Completed => "completed",
-        JobView::Failed => "failed",
-        JobView::Cancelled => "cancelled",
+        JobStatus::Queued => "queued",
+        JobStatus::Running => "running",
+        JobStatus::Completed => "completed",
+        JobStatus::Failed => "failed",
+        JobStatus::Cancelled => "cancelled",
     };
     serde_json::to_vec(&StateBody { state }).unwrap_or_default()
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -155,12 +155,12 @@
         restore_ms: fields.bound_ms("bounds.restore_ms", 1.0, default.restore_ms)?,
         checkpoint_ms: fields.bound_ms("bounds.checkpoint_s", 1_000.0, default.checkpoint_ms)?,
         upkeep_ms: fields.bound_ms("bounds.maintenance_s", 1_000.0, default.upkeep_ms)?,
-        orders_view_ms: match fields.bound_ms(ORDERS_BOUND, 1.0, u64::MAX)? {
+        orders_max_age_ms: match fields.bound_ms(ORDERS_BOUND, 1.0, u64::MAX)? {
             // The installation sets no bound.
-            u64::MAX => default.orders_view_ms,
+            u64::MAX => default.orders_max_age_ms,
             bound_ms => view_ms(bound_ms, default.start_window_ms, LEAST_VIEW_MS),
         },
-        entries_view_ms: view_ms(
+        entries_max_age_ms: view_ms(
             shrunk_room_ms,
             default.start_window_ms,
             LEAST_ENTRIES_VIEW_MS,
@@ -179,7 +179,7 @@
         store_address: fields.text("platform.address")?.to_owned(),
         advice_address: fields.text("recommendation").ok().map(str::to_owned),
         machines_address: fields.text("cloud_api.address").ok().map(str::to_owned),
-        strength: (fields.bound_ms("limits.cpu_share", 1_000.0, 1_000)?)
+        cpu_millis: (fields.bound_ms("limits.cpu_share", 1_000.0, 1_000)?)
             * fields.bound_ms("limits.cores", 1.0, 1)?.max(1),
         grace_ms: fields.bound_ms("bounds.grace_period_s", 1_000.0, 6_000)?,
         tuning,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -6,13 +6,13 @@
 };
 use super::registration::MAX_ENTRY_BYTES;
 use crate::cluster::{
-    Committed,
-    Range,
+    CommitResult,
     StoreError,
     StoreEvent,
     StoredItem,
+    StoredRange,
     Transaction,
-    Watched, //
+    WatchResult, //
 };
 use awc::http::{
     Method,
@@ -221,8 +221,8 @@
     /// # Errors
     ///
     /// The store refused or did not answer.
-    pub async fn range(&self, prefix: &str, stale: bool) -> Result<Range, StoreError> {
-        let mut range = Range::default();
+    pub async fn range(&self, prefix: &str, stale: bool) -> Result<StoredRange, StoreError> {
+        let mut range = StoredRange::default();
         let mut after = String::new();
         loop {
             let mut call = format!("kv-range?prefix={}", query_text(prefix));
@@ -265,7 +265,7 @@
         prefix: &str,
         revision: u64,
         wait_ms: u64,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchResult, StoreError> {
         let prefix = query_text(prefix);
         let call = format!("kv-watch?prefix={prefix}&after={revision}&wait_ms={wait_ms}");
         let limit_ms = wait_ms + WATCH_SLACK_MS;
@@ -275,7 +275,7 @@
         let answer = answer.await;
         if answer == Err(CallFailure::TooLarge) {
             // Asked again, it would be as long: pages are bounded.
-            return Ok(Watched::HistoryGone);
+            return Ok(WatchResult::HistoryGone);
         }
         let (status, body) = answered(answer)?;
         match status {
@@ -290,12 +290,12 @@
                     }
                     StoreEvent::Put(event.into_item())
                 });
-                Ok(Watched::Changes {
+                Ok(WatchResult::Changes {
                     events: events.collect(),
                     revision: body.current_rev,
                 })
             }
-            StatusCode::GONE => Ok(Watched::HistoryGone),
+            StatusCode::GONE => Ok(WatchResult::HistoryGone),
             other => Err(refused(other)),
         }
     }
@@ -305,7 +305,7 @@
     /// # Errors
     ///
     /// The store refused or did not answer.
-    pub async fn commit(&self, transaction: &Transaction) -> Result<Committed, StoreError> {
+    pub async fn commit(&self, transaction: &Transaction) -> Result<CommitResult, StoreError> {
         self.commit_within(transaction, CALL_LIMIT_MS).await
     }
 
@@ -319,7 +319,7 @@
         &self,
         transaction: &Transaction,
         limit_ms: u64,
-    ) -> Result<Committed, StoreError> {
+    ) -> Result<CommitResult, StoreError> {
         let expected = transaction.expected.iter();
         let puts = transaction.puts.iter();
         let body = TransactionBody {
@@ -343,18 +343,18 @@
             .post(self.url("kv-txn"), &[], &body, limit_ms.min(CALL_LIMIT_MS));
         let (status, body) = answered(answer.await)?;
         match status {
-            StatusCode::OK => Ok(Committed::Done {
+            StatusCode::OK => Ok(CommitResult::Done {
                 revision: decode::<RevisionBody>(&body)?.revision,
             }),
             StatusCode::PRECONDITION_FAILED => {
                 let items = decode::<ConflictBody>(&body)?.items.into_iter();
                 // A key that does not exist may be shown with revision 0.
                 let items = items.filter(|item| item.revision > 0 && !item.deleted);
-                Ok(Committed::Conflict(
+                Ok(CommitResult::Conflict(
                     items.map(ItemBody::into_item).collect(),
                 ))
             }
-            StatusCode::NOT_FOUND => Ok(Committed::LeaseOver),
+            StatusCode::NOT_FOUND => Ok(CommitResult::LeaseOver),
             other => Err(refused(other)),
         }
     }
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -1,4 +1,4 @@
-//! What the scheduler asks for.
+//! The actions and decisions that the scheduler returns.
 
 use super::{
     GroupKey,
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -70,7 +70,7 @@
     /// at `checked_ms` or later.
     pub(super) fn take_emptying(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
         // Waiting work is offered room again as soon as that may be done.
-        let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_view_ms);
+        let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_max_age_ms);
         self.changed |= self.emptying.view.note(checked_ms, now_ms, bound_ms);
         let mut before = std::mem::take(&mut self.emptying.in_force);
         let (mut new, mut given_anew) = (Vec::new(), Vec::new());
@@ -194,13 +194,13 @@
     /// be kept. Without this, an owner whose questions for orders alone are not
     /// answered would start tasks in a data centre long after its order.
     pub(super) fn knows_orders(&self) -> bool {
-        let bound_ms = self.tuning.orders_view_ms;
+        let bound_ms = self.tuning.orders_max_age_ms;
         self.emptying.view.is_fresh(self.now_ms, bound_ms)
     }
 
     /// Tells once that nothing starts since the orders were not read for too long.
     pub(super) fn note_orders_unread(&mut self) {
-        let bound_ms = self.tuning.orders_view_ms;
+        let bound_ms = self.tuning.orders_max_age_ms;
         if let Some(known_ago_ms) = self.emptying.view.untold_age_ms(self.now_ms, bound_ms) {
             self.decided(Decision::OrdersUnread { known_ago_ms });
         }
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told.
+//! The inputs of the scheduler.
 
 use super::{
     ClosedRuns,
@@ -161,7 +161,7 @@
     NoAnswer,
 }
 
-/// News for the scheduler.
+/// An input of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A version of the configuration.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -74,7 +74,7 @@
 
 /// What a caller may be told of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum JobView {
+pub enum JobStatus {
     /// No task has begun.
     Queued,
     /// A task has begun.
@@ -94,13 +94,13 @@
     }
 
     /// What its caller may be told: an end only once it is durable.
-    pub fn view(&self) -> JobView {
+    pub fn status(&self) -> JobStatus {
         match self.ended {
-            _ if self.cancelled => JobView::Cancelled,
-            Some(FinalState::Completed) if self.stored >= self.change => JobView::Completed,
-            Some(FinalState::Failed) if self.stored >= self.change => JobView::Failed,
-            _ if self.started => JobView::Running,
-            _ => JobView::Queued,
+            _ if self.cancelled => JobStatus::Cancelled,
+            Some(FinalState::Completed) if self.stored >= self.change => JobStatus::Completed,
+            Some(FinalState::Failed) if self.stored >= self.change => JobStatus::Failed,
+            _ if self.started => JobStatus::Running,
+            _ => JobStatus::Queued,
         }
     }
 
@@ -300,8 +300,8 @@
     }
 
     /// What a caller may be told of a job.
-    pub fn job_view(&self, id: JobId) -> Option<JobView> {
-        self.jobs.get(&id).map(GraphJob::view)
+    pub fn job_status(&self, id: JobId) -> Option<JobStatus> {
+        self.jobs.get(&id).map(GraphJob::status)
     }
 
     /// Accepted jobs of a queue of which no task has begun.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -92,7 +92,7 @@
 };
 pub use job::{
     GraphJob,
-    JobView, //
+    JobStatus, //
 };
 pub use job_progress::{
     FinalState,
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -116,7 +116,7 @@
     /// All jobs that were stored before then are known.
     pub(super) jobs_read_ms: u64,
     /// What workers said of themselves until then is known.
-    pub(super) entries_view: Freshness,
+    pub(super) entries_freshness: Freshness,
     pub(super) jobs: BTreeMap<JobId, GraphJob>,
     /// Jobs with a stored value that does not read.
     pub(super) unreadable_jobs: BTreeSet<JobId>,
@@ -169,7 +169,7 @@
             address_index: HashMap::new(),
             with_unacknowledged_ends: BTreeSet::new(),
             jobs_read_ms: 0,
-            entries_view: Freshness::of(now_ms),
+            entries_freshness: Freshness::of(now_ms),
             jobs: BTreeMap::new(),
             unreadable_jobs: BTreeSet::new(),
             roster_unreadable: false,
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Takes in news; what follows is returned by [`Scheduler::decide`].
-    pub fn take(&mut self, input: Input, now_ms: u64) {
+    /// Applies an input; the resulting actions are returned by [`Scheduler::decide`].
+    pub fn handle(&mut self, input: Input, now_ms: u64) {
         self.now_ms = self.now_ms.max(now_ms);
         match input {
             Input::Configure(configuration) => self.configure(configuration),
--- a/src/scheduler/tuning.rs
+++ b/src/scheduler/tuning.rs
@@ -35,10 +35,10 @@
     pub order: OrderingPolicy,
     /// An owner that read the operators' orders longer ago than this starts
     /// nothing.
-    pub orders_view_ms: u64,
+    pub orders_max_age_ms: u64,
     /// An owner that read the workers' entries longer ago than this starts nothing on
     /// workers that start whatever they are told to: their room may have shrunk.
-    pub entries_view_ms: u64,
+    pub entries_max_age_ms: u64,
     /// How long a machine is down for its upkeep.
     pub upkeep_ms: u64,
     /// A new owner gives no orders for machines for this long: two owners in
@@ -78,8 +78,8 @@
             restore_ms: 600,
             checkpoint_ms: 2_000,
             order: OrderingPolicy::Worth,
-            orders_view_ms: u64::MAX,
-            entries_view_ms: u64::MAX,
+            orders_max_age_ms: u64::MAX,
+            entries_max_age_ms: u64::MAX,
             upkeep_ms: 2_000,
             holder_gap_ms: 3_500,
         }
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -38,14 +38,14 @@
     /// a worker that starts whatever it is told to and whose room has shrunk meanwhile
     /// would be brought over it.
     pub(super) fn knows_entries(&self) -> bool {
-        let bound_ms = self.tuning.entries_view_ms;
-        self.entries_view.is_fresh(self.now_ms, bound_ms)
+        let bound_ms = self.tuning.entries_max_age_ms;
+        self.entries_freshness.is_fresh(self.now_ms, bound_ms)
     }
 
     /// All entries that were there at `sent_ms` are told.
     pub(super) fn entries_read(&mut self, sent_ms: u64) {
-        let bound_ms = self.tuning.entries_view_ms;
-        self.changed |= self.entries_view.note(sent_ms, self.now_ms, bound_ms);
+        let bound_ms = self.tuning.entries_max_age_ms;
+        self.changed |= self.entries_freshness.note(sent_ms, self.now_ms, bound_ms);
     }
 
     /// Whether a start may not go to a worker, since its room is not known.
@@ -58,8 +58,8 @@
         if self.configuration.unguarded_services.is_empty() {
             return;
         }
-        let bound_ms = self.tuning.entries_view_ms;
-        if let Some(known_ago_ms) = self.entries_view.untold_age_ms(self.now_ms, bound_ms) {
+        let bound_ms = self.tuning.entries_max_age_ms;
+        if let Some(known_ago_ms) = self.entries_freshness.untold_age_ms(self.now_ms, bound_ms) {
             self.decided(Decision::EntriesUnread { known_ago_ms });
         }
     }
--- a/tests/cancelled.rs
+++ b/tests/cancelled.rs
@@ -15,7 +15,7 @@
 use fuchsiaslip::scheduler::{
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName, //
 };
 
@@ -65,7 +65,7 @@
     fleet.advance(STOPPED_MS);
 
     assert_eq!(fleet.running(), []);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Cancelled));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Cancelled));
 }
 
 #[test]
@@ -112,7 +112,7 @@
     next.advance(STOPPED_MS);
 
     assert_eq!(next.running(), []);
-    assert_eq!(next.scheduler.job_view(job), Some(JobView::Cancelled));
+    assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Cancelled));
 }
 
 #[test]
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -43,7 +43,7 @@
 /// whatever they are told to.
 fn full_worker() -> Fleet {
     let tuning = Tuning {
-        entries_view_ms: 2_860,
+        entries_max_age_ms: 2_860,
         ..Tuning::default()
     };
     let mut fleet = Fleet::with_tuning(1, tuning);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -30,7 +30,7 @@
     GroupKey,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName,
     StepSpec,
     TaskId, //
@@ -81,7 +81,7 @@
 
     let starts = starts_of(&fleet, task_of(id, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// Starts of such a task until it is given up, or under nine owners: each is killed so
@@ -89,7 +89,7 @@
 fn starts_under_owners(
     crash_after_ms: u64,
     seen_ms: impl Fn(u64) -> u64,
-) -> (usize, Option<JobView>) {
+) -> (usize, Option<JobStatus>) {
     let mut fleet = Fleet::with_workers(8);
     fleet.crash_after_ms = crash_after_ms;
     let job = record("urgent", vec![step(1, 4)]);
@@ -105,7 +105,7 @@
         fleet = fleet.next_owner(epoch, &[(id, job.clone())], true);
     }
     fleet.advance(LONG_MS);
-    (starts, fleet.scheduler.job_view(id))
+    (starts, fleet.scheduler.job_status(id))
 }
 
 /// The same while one owner after the other is killed, each half a second after such
@@ -117,7 +117,7 @@
     let (starts, view) = starts_under_owners(10, |_| 500);
 
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view, Some(JobView::Failed));
+    assert_eq!(view, Some(JobStatus::Failed));
 }
 
 /// Only the first owner lives for long enough to close a silent worker after its second
@@ -128,7 +128,7 @@
     let (starts, view) = starts_under_owners(10, |epoch| if epoch == 2 { 500 } else { 60 });
 
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view, Some(JobView::Failed));
+    assert_eq!(view, Some(JobStatus::Failed));
 }
 
 /// The same of a task that crashes its workers late. The next owner did not know whether
@@ -138,7 +138,7 @@
     let (starts, view) = starts_under_owners(1_500, |_| 2_000);
 
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view, Some(JobView::Failed));
+    assert_eq!(view, Some(JobStatus::Failed));
 }
 
 /// Guards against a sixth start: the worker crashed so soon after a takeover that the new
@@ -161,13 +161,13 @@
 
     let starts = seen + starts_of(&next, task_of(id, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// Counts the crashes of a task that is never the only suspect, because another task starts
 /// on its worker just before each crash. Returns the count and the final state of its job,
 /// which an owner with the given epoch reads from the store.
-fn crashes_in_company(owner_epoch: u64) -> (usize, Option<JobView>) {
+fn crashes_in_company(owner_epoch: u64) -> (usize, Option<JobStatus>) {
     let mut fleet = Fleet::with_workers(1);
     let job = record("plain", vec![step(1, 4)]);
     let id = JobId(1);
@@ -188,21 +188,21 @@
             }
         }
     }
-    (crashes, next.scheduler.job_view(id))
+    (crashes, next.scheduler.job_status(id))
 }
 
 /// Guards against a sixth start of a task that crashes its workers and is never the only
 /// suspect.
 #[test]
 fn in_company_it_is_given_up_one_crash_earlier_if_an_earlier_owner_knew_it() {
-    assert_eq!(crashes_in_company(2), (2, Some(JobView::Failed)));
+    assert_eq!(crashes_in_company(2), (2, Some(JobStatus::Failed)));
 }
 
 /// Guards against failing a job one crash too early under the first owner, which has no
 /// earlier owner whose crashes it could have missed.
 #[test]
 fn in_company_the_first_owner_gives_it_up_after_three_crashes() {
-    assert_eq!(crashes_in_company(1), (3, Some(JobView::Failed)));
+    assert_eq!(crashes_in_company(1), (3, Some(JobStatus::Failed)));
 }
 
 /// Guards against giving up a gang for crashes after its end: one member listed its end,
@@ -235,7 +235,7 @@
         fleet.silent.clear();
     }
 
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
 }
 
 /// Waits until exactly one run is running; returns its worker and name.
@@ -287,7 +287,10 @@
 fn a_run_that_may_have_ended_before_its_worker_crashed_is_not_the_only_suspect() {
     let fleet = crash_while_silent(80, true, 600);
 
-    assert_eq!(fleet.scheduler.job_view(JobId(1)), Some(JobView::Running));
+    assert_eq!(
+        fleet.scheduler.job_status(JobId(1)),
+        Some(JobStatus::Running)
+    );
 }
 
 /// Guards against a sixth start of a task that reports progress before it crashes its
@@ -307,7 +310,7 @@
 
     let starts = starts_of(&fleet, task_of(id, 0));
     assert!(starts <= 3, "started {starts} times");
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// Guards against not giving up a task that crashes its workers because they respond again
@@ -316,7 +319,10 @@
 fn a_run_that_cannot_have_ended_before_the_restart_counts_at_its_start() {
     let fleet = crash_while_silent(20, false, 1_500);
 
-    assert_eq!(fleet.scheduler.job_view(JobId(1)), Some(JobView::Failed));
+    assert_eq!(
+        fleet.scheduler.job_status(JobId(1)),
+        Some(JobStatus::Failed)
+    );
 }
 
 /// Ends what has run for its time, but for what crashes its worker; long work shows
@@ -347,8 +353,8 @@
     }
 }
 
-fn view(fleet: &Fleet, id: JobId) -> Option<JobView> {
-    fleet.scheduler.job_view(id)
+fn view(fleet: &Fleet, id: JobId) -> Option<JobStatus> {
+    fleet.scheduler.job_status(id)
 }
 
 /// Jobs that shared a worker with such a task were lost with it, started beside it again
@@ -364,9 +370,9 @@
 
     play(&mut fleet, LONG_MS, 1_500);
 
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
     for other in beside {
-        assert_eq!(view(&fleet, other), Some(JobView::Completed), "{other}");
+        assert_eq!(view(&fleet, other), Some(JobStatus::Completed), "{other}");
     }
 }
 
@@ -387,10 +393,10 @@
     for id in crashing {
         let starts = starts_of(&fleet, task_of(id, 0));
         assert!(starts <= MOST_STARTS, "{id}: started {starts} times");
-        assert_eq!(view(&fleet, id), Some(JobView::Failed), "{id}");
+        assert_eq!(view(&fleet, id), Some(JobStatus::Failed), "{id}");
     }
     for id in others {
-        assert_eq!(view(&fleet, id), Some(JobView::Completed), "{id}");
+        assert_eq!(view(&fleet, id), Some(JobStatus::Completed), "{id}");
     }
 }
 
@@ -406,8 +412,8 @@
 
     let starts = starts_of(&fleet, task_of(id, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
-    assert_eq!(view(&fleet, other), Some(JobView::Completed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
+    assert_eq!(view(&fleet, other), Some(JobStatus::Completed));
 }
 
 /// A task that crashes its worker only after seconds looks like one that is lost by
@@ -422,7 +428,7 @@
 
     let starts = starts_of(&fleet, task_of(id, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
 
 /// Workers go down and up by turns under long jobs. None of these is to blame, and each
@@ -446,13 +452,13 @@
 
     assert!(!fleet.crashed.is_empty());
     for id in jobs {
-        assert_eq!(view(&fleet, id), Some(JobView::Completed), "{id}");
+        assert_eq!(view(&fleet, id), Some(JobStatus::Completed), "{id}");
     }
 }
 
 /// Loses a job of one task with a worker `times` times, so long after each start; then
 /// workers stay up. What becomes of it.
-fn lost_by_chance(times: u32, after_ms: u64) -> Option<JobView> {
+fn lost_by_chance(times: u32, after_ms: u64) -> Option<JobStatus> {
     const RUN_MS: u64 = 3_000;
     let mut fleet = Fleet::with_workers(8);
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -473,8 +479,8 @@
 /// (E324 `at_all`, `crashes_at_start` 0).
 #[test]
 fn a_sound_task_that_is_lost_again_and_again_is_done() {
-    assert_eq!(lost_by_chance(1, 100), Some(JobView::Completed));
-    assert_eq!(lost_by_chance(4, 1_500), Some(JobView::Completed));
+    assert_eq!(lost_by_chance(1, 100), Some(JobStatus::Completed));
+    assert_eq!(lost_by_chance(4, 1_500), Some(JobStatus::Completed));
 }
 
 /// A worker that leaves with what runs on it, and one that is cut off until its lease
@@ -506,7 +512,7 @@
     }
     play(&mut fleet, LONG_MS, 1_500);
 
-    assert_eq!(view(&fleet, id), Some(JobView::Completed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
 }
 
 /// A job was given up after workers had crashed on which it never ran: its starts had no
@@ -529,7 +535,7 @@
     play(&mut fleet, LONG_MS, 1_500);
 
     assert!(starts_of(&fleet, task_of(id, 0)) > MOST_STARTS);
-    assert_eq!(view(&fleet, id), Some(JobView::Completed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
 }
 
 /// Workers are back only when their leases are over and their entries gone: their runs
@@ -544,7 +550,7 @@
 
     let starts = starts_of(&fleet, task_of(id, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
 
 /// A worker that left is followed by another at its address, which falls silent and is
@@ -599,12 +605,12 @@
         fleet.crash(&worker);
         play(&mut fleet, 4_000, 60_000);
     }
-    assert_eq!(view(&fleet, id), Some(JobView::Running));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Running));
 
     let crashing = submit_crashing(&mut fleet, 2, record("plain", vec![lasting]));
     play(&mut fleet, LONG_MS, 60_000);
 
     let starts = starts_of(&fleet, task_of(crashing, 0));
     assert!(starts <= MOST_STARTS, "started {starts} times");
-    assert_eq!(view(&fleet, crashing), Some(JobView::Failed));
+    assert_eq!(view(&fleet, crashing), Some(JobStatus::Failed));
 }
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -16,7 +16,7 @@
     EndKind,
     GroupKey,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName,
     TaskId, //
 };
@@ -72,7 +72,7 @@
     /// Crashes of which the store said nothing when their owner was followed.
     unknown: HashSet<RunName>,
     /// How jobs were shown to have ended; they are forgotten after a while.
-    ended: HashMap<JobId, JobView>,
+    ended: HashMap<JobId, JobStatus>,
     epoch: u64,
 }
 
@@ -245,15 +245,15 @@
             );
         }
         for (id, _) in &self.jobs {
-            let view = self.fleet.scheduler.job_view(*id);
-            if let Some(end @ (JobView::Completed | JobView::Failed)) = view {
+            let view = self.fleet.scheduler.job_status(*id);
+            if let Some(end @ (JobStatus::Completed | JobStatus::Failed)) = view {
                 let before = self.ended.insert(*id, end);
                 assert!(
                     before.is_none_or(|before| before == end),
                     "{id}: {before:?}, {end:?}"
                 );
             }
-            let failed = view == Some(JobView::Failed);
+            let failed = view == Some(JobStatus::Failed);
             assert!(
                 !failed || self.may_be_given_up(*id),
                 "{id} failed without a cause"
@@ -282,7 +282,7 @@
             let end = self.ended.get(id);
             let crashes = self.fleet.crashing.contains(&super::task_of(*id, 0));
             match crashes {
-                true => assert_eq!(end, Some(&JobView::Failed), "{id}"),
+                true => assert_eq!(end, Some(&JobStatus::Failed), "{id}"),
                 false => assert!(end.is_some(), "{id} has not ended"),
             }
         }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -3,7 +3,7 @@
 use fuchsiaslip::cluster::{
     Candidate,
     ElectionView,
-    OwnerSign,
+    OwnerStatus,
     takeover, //
 };
 
@@ -13,30 +13,30 @@
     takeover(view).map(|due| due.due_ms)
 }
 
-fn candidate(name: &str, strength: u64) -> Candidate {
+fn candidate(name: &str, cpu_millis: u64) -> Candidate {
     Candidate {
         name: name.to_owned(),
-        strength,
-        fit: true,
+        cpu_millis,
+        eligible: true,
     }
 }
 
-fn sign() -> OwnerSign {
-    OwnerSign {
+fn sign() -> OwnerStatus {
+    OwnerStatus {
         name: "owner".to_owned(),
         heard_ms: NOW_MS,
         since_ms: NOW_MS - 60_000,
-        storeless_since_ms: None,
+        store_lost_since_ms: None,
         draining: false,
         over: false,
     }
 }
 
-fn view(owner: Option<OwnerSign>) -> ElectionView {
+fn view(owner: Option<OwnerStatus>) -> ElectionView {
     ElectionView {
         own: candidate("b", 250),
         started_ms: NOW_MS - 10_000,
-        store_back_ms: 0,
+        store_recovered_ms: 0,
         heard: vec![candidate("c", 250)],
         listed: 1,
         owner,
@@ -65,7 +65,7 @@
     large.listed = 332;
     assert_eq!(takeover_at_ms(&large), Some(NOW_MS + 700 + 900));
 
-    large.owner = Some(OwnerSign {
+    large.owner = Some(OwnerStatus {
         since_ms: NOW_MS - 1_000,
         ..sign()
     });
@@ -76,7 +76,7 @@
 /// needed: for an owner that had just fallen silent.
 #[test]
 fn the_silent_owner_is_no_rival() {
-    let mut next = view(Some(OwnerSign {
+    let mut next = view(Some(OwnerStatus {
         name: "a".to_owned(),
         ..sign()
     }));
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_draining_owner_is_followed_at_once() {
-    let draining = OwnerSign {
+    let draining = OwnerStatus {
         draining: true,
         ..sign()
     };
@@ -127,7 +127,7 @@
 #[test]
 fn a_daemon_that_lost_the_store_never_takes_over() {
     let mut storeless = view(Some(sign()));
-    storeless.own.fit = false;
+    storeless.own.eligible = false;
 
     assert_eq!(takeover_at_ms(&storeless), None);
 }
@@ -137,12 +137,12 @@
 /// been without it for seconds, and that had it again a moment later.
 #[test]
 fn an_outage_for_all_does_not_end_an_ownership() {
-    let storeless = OwnerSign {
-        storeless_since_ms: Some(NOW_MS - 4_000),
+    let storeless = OwnerStatus {
+        store_lost_since_ms: Some(NOW_MS - 4_000),
         ..sign()
     };
     let mut after_outage = view(Some(storeless.clone()));
-    after_outage.store_back_ms = NOW_MS;
+    after_outage.store_recovered_ms = NOW_MS;
 
     assert_eq!(takeover_at_ms(&after_outage), Some(NOW_MS + 500));
     assert_eq!(takeover_at_ms(&view(Some(storeless))), Some(NOW_MS - 3_500));
@@ -150,17 +150,17 @@
 
 #[test]
 fn what_the_owner_is_missing_is_told_by_name() {
-    let reason = |owner: Option<OwnerSign>| takeover(&view(owner)).map(|due| due.reason);
-    let over = OwnerSign {
+    let reason = |owner: Option<OwnerStatus>| takeover(&view(owner)).map(|due| due.reason);
+    let over = OwnerStatus {
         over: true,
         ..sign()
     };
-    let draining = OwnerSign {
+    let draining = OwnerStatus {
         draining: true,
         ..sign()
     };
-    let storeless = OwnerSign {
-        storeless_since_ms: Some(NOW_MS - 400),
+    let storeless = OwnerStatus {
+        store_lost_since_ms: Some(NOW_MS - 400),
         ..sign()
     };
 
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -20,7 +20,7 @@
     EndedRow,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     PollReport,
     RunName,
     Schedule,
@@ -126,7 +126,7 @@
     fleet.follows_jobs = true;
     fleet.advance(100);
 
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
     assert!(fleet.starts.is_empty(), "it was done");
 }
@@ -231,5 +231,5 @@
     });
     assert!(!absent, "its end may be on the next list");
     assert_eq!(fleet.starts.len(), 1);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Running));
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -33,7 +33,7 @@
     EmptyingOrder,
     EndKind,
     Input,
-    JobView,
+    JobStatus,
     StepSpec,
     Tuning,
     WorkerInfo, //
@@ -154,7 +154,7 @@
     }
     fleet.advance(600);
     assert_eq!(starts_in(&fleet, "a", from_ms), 0);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 #[test]
@@ -225,8 +225,8 @@
     assert_eq!(running_in(&fleet, "a"), 2);
     assert!(fleet.stops.iter().all(|(_, worker)| worker == "b0"));
     assert_eq!(
-        fleet.scheduler.job_view(urgent),
-        Some(JobView::Running),
+        fleet.scheduler.job_status(urgent),
+        Some(JobStatus::Running),
         "the guarantee holds with the room that is left"
     );
 }
@@ -308,7 +308,7 @@
     fleet.end_all(blocker, EndKind::Done);
     fleet.advance(100);
 
-    assert_eq!(fleet.scheduler.job_view(gang), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(gang), Some(JobStatus::Running));
     assert_eq!(starts_in(&fleet, "a", 0), 0);
 }
 
@@ -373,7 +373,7 @@
     let later = fleet.submit(2, record("plain", vec![gang(2, 8)]));
     fleet.advance(20_000);
     assert!(fleet.starts.is_empty());
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Queued));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Queued));
     assert_eq!(fleet.scheduler.pending("urgent"), 1);
 
     order(&mut fleet, &["b"]);
@@ -382,7 +382,7 @@
     order(&mut fleet, &[]);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(200);
-    assert_eq!(fleet.scheduler.job_view(later), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(later), Some(JobStatus::Running));
     let objective = decisions(&fleet)
         .iter()
         .find_map(|decision| match decision {
@@ -567,7 +567,7 @@
     // The store answers this owner's confirmations but not its questions for
     // orders. One that was given meanwhile is not known to it.
     let tuning = Tuning {
-        orders_view_ms: 3_000,
+        orders_max_age_ms: 3_000,
         ..Tuning::default()
     };
     let mut fleet = Fleet::with_tuning(1, tuning);
@@ -761,8 +761,8 @@
             }
         }
         for (id, record) in &self.jobs {
-            let view = self.fleet.scheduler.job_view(*id);
-            let over = matches!(view, Some(JobView::Completed | JobView::Failed));
+            let view = self.fleet.scheduler.job_status(*id);
+            let over = matches!(view, Some(JobStatus::Completed | JobStatus::Failed));
             assert!(over, "{id} is {view:?}: {record:?}");
         }
     }
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -13,7 +13,7 @@
     EndKind,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName,
     StepSpec,
     WorkerInfo, //
@@ -519,8 +519,8 @@
                 self.end_one(at, EndKind::Done);
             }
             let over = |id: &JobId| {
-                let view = self.fleet.scheduler.job_view(*id);
-                matches!(view, Some(JobView::Completed | JobView::Failed))
+                let view = self.fleet.scheduler.job_status(*id);
+                matches!(view, Some(JobStatus::Completed | JobStatus::Failed))
             };
             let open = self.jobs.iter().map(|(id, _)| *id);
             left = open.filter(|id| !over(id)).collect();
--- a/tests/foreign/path.rs
+++ b/tests/foreign/path.rs
@@ -21,7 +21,7 @@
     StoreError,
     StoreEvent,
     StoredItem,
-    Watched,
+    WatchResult,
     inspect_fleet, //
 };
 use fuchsiaslip::platform::{
@@ -488,7 +488,7 @@
     let watched = with_store(&operator, async |store| {
         store.watch("servers/", from.revision, 0).await
     });
-    assert_eq!(watched, Watched::HistoryGone, "read anew, page by page");
+    assert_eq!(watched, WatchResult::HistoryGone, "read anew, page by page");
     let range = with_store(&operator, async |store| store.range("servers/", true).await);
     assert_eq!(range.items.len(), 9);
     let longest = range.items.iter().map(|item| item.value.len()).max();
@@ -516,7 +516,7 @@
     let watched = with_store(&operator, async |store| {
         store.watch("servers/", from.revision, 0).await
     });
-    let Watched::Changes { events, .. } = watched else {
+    let WatchResult::Changes { events, .. } = watched else {
         panic!("the history is there");
     };
     let put = events.into_iter().filter_map(|event| match event {
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -12,7 +12,7 @@
     Action,
     EndKind,
     Input,
-    JobView,
+    JobStatus,
     RunName,
     WorkerInfo, //
 };
@@ -79,8 +79,8 @@
     assert!(!lapsed, "its lease is renewed");
     fleet.end_all(first, EndKind::Done);
     fleet.advance(500);
-    let completed = fleet.scheduler.job_view(first);
-    assert_eq!(completed, Some(JobView::Completed), "its end is heard");
+    let completed = fleet.scheduler.job_status(first);
+    assert_eq!(completed, Some(JobStatus::Completed), "its end is heard");
     assert_eq!(fleet.highest_last_seen[&worker], 1, "and acknowledged");
     fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.advance(500);
@@ -116,7 +116,7 @@
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on, once");
     next.end_all(job, EndKind::Done);
     next.advance(500);
-    assert_eq!(next.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(next.starts, [], "nothing was started again");
 }
 
@@ -137,7 +137,7 @@
     assert_eq!(fleet.starts.len(), 1, "no queue uses that service");
     fleet.end_all(job, EndKind::Done);
     fleet.advance(500);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 /// Where a worker was called last.
@@ -250,7 +250,11 @@
     next.submit(job.0, spec.clone());
     work_for(&mut next, LEASES_OVER_MS);
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on");
-    assert_eq!(next.scheduler.job_view(job), None, "the store tells of it");
+    assert_eq!(
+        next.scheduler.job_status(job),
+        None,
+        "the store tells of it"
+    );
     next.end_all(job, EndKind::Done);
     next.advance(1_000);
     assert_eq!(next.highest_last_seen[&worker], 0, "its end is not lost");
@@ -263,7 +267,7 @@
     });
     next.advance(1_000);
 
-    assert_eq!(next.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(next.highest_last_seen[&worker], 1, "now it is noted");
     assert_eq!(next.starts, [], "nothing ran twice");
 }
@@ -280,10 +284,10 @@
     work_for(&mut next, LEASES_OVER_MS);
 
     assert_eq!(next.running(), [(worker, run)]);
-    assert_eq!(next.scheduler.job_view(job), Some(JobView::Running));
+    assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Running));
     next.end_all(job, EndKind::Done);
     next.advance(1_000);
-    assert_eq!(next.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!((&next.starts[..], &next.stops[..]), (&[][..], &[][..]));
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -24,7 +24,7 @@
     GroupKey,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     PollReport,
     RunName,
     Schedule,
@@ -39,19 +39,19 @@
 /// A new owner that knows so many workers by the roster, and has asked none.
 fn new_owner_of(count: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(2, Tuning::default(), BEGIN_MS);
-    scheduler.take(Input::Configure(Arc::new(configuration(64))), BEGIN_MS);
+    scheduler.handle(Input::Configure(Arc::new(configuration(64))), BEGIN_MS);
     for at in 0..count {
         let known = Input::RosterWorker {
             worker_name: format!("w{at}"),
             address: format!("w{at}:1"),
             closed_with: None,
         };
-        scheduler.take(known, BEGIN_MS);
+        scheduler.handle(known, BEGIN_MS);
     }
     let recovered = Input::StoredStateRead {
         earlier_owner_over: true,
     };
-    scheduler.take(recovered, BEGIN_MS);
+    scheduler.handle(recovered, BEGIN_MS);
     scheduler
 }
 
@@ -93,7 +93,7 @@
     );
     next.end_all(id, EndKind::Failed);
     next.advance(50);
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// A job got a third attempt where two were allowed. The store was down while
@@ -118,7 +118,7 @@
     next.advance(1_000);
 
     assert!(next.starts.is_empty(), "a third attempt was started");
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// A new owner finds what runs and lets it run on.
@@ -473,7 +473,10 @@
     next.advance(8_000);
 
     assert!(next.starts.is_empty(), "{:?}", next.starts);
-    assert_eq!(next.scheduler.job_view(JobId(1)), Some(JobView::Completed));
+    assert_eq!(
+        next.scheduler.job_status(JobId(1)),
+        Some(JobStatus::Completed)
+    );
 }
 
 /// A task ran again after it was done: its end was known to the owner and not
@@ -540,7 +543,7 @@
         for worker in on_their_way.drain(..) {
             asked += 1;
             let outcome = CallOutcome::NoAnswer;
-            scheduler.take(Input::PollFailed { worker, outcome }, now_ms);
+            scheduler.handle(Input::PollFailed { worker, outcome }, now_ms);
         }
     }
     assert_eq!(most, PORTION);
@@ -635,12 +638,12 @@
         },
     ];
     for input in told {
-        scheduler.take(input, BEGIN_MS);
+        scheduler.handle(input, BEGIN_MS);
     }
 
     let mut started = 0;
     for now_ms in (BEGIN_MS..BEGIN_MS + 3_000).step_by(10) {
-        scheduler.take(Input::EpochConfirmed(now_ms), now_ms);
+        scheduler.handle(Input::EpochConfirmed(now_ms), now_ms);
         for action in scheduler.decide(now_ms) {
             match action {
                 // Only the third worker answers.
@@ -654,14 +657,14 @@
                         sent_ms: now_ms,
                         report,
                     };
-                    scheduler.take(input, now_ms);
+                    scheduler.handle(input, now_ms);
                 }
                 Action::Poll { callee, .. } => {
                     let input = Input::PollFailed {
                         worker: callee.worker,
                         outcome: CallOutcome::NoAnswer,
                     };
-                    scheduler.take(input, now_ms);
+                    scheduler.handle(input, now_ms);
                 }
                 // A slow store: the roster is durable a second later.
                 Action::StoreRoster => {}
@@ -672,7 +675,7 @@
         if now_ms == BEGIN_MS + 1_000 {
             let names = scheduler.roster().into_iter().map(|(name, _)| name);
             let input = Input::RosterStored(names.collect());
-            scheduler.take(input, now_ms);
+            scheduler.handle(input, now_ms);
         }
     }
     assert_eq!(started, 0, "the living one may run it");
@@ -732,7 +735,7 @@
                     ..PollReport::default()
                 },
             };
-            scheduler.take(input, now_ms);
+            scheduler.handle(input, now_ms);
         }
     }
     assert_eq!(answered.len(), WORKERS);
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -29,7 +29,7 @@
     EndKind,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     Resources,
     RunName,
     StepSpec,
@@ -61,8 +61,8 @@
     starts.filter(|(name, ..)| name.task.job == id).count()
 }
 
-fn view(fleet: &Fleet, id: JobId) -> Option<JobView> {
-    fleet.scheduler.job_view(id)
+fn view(fleet: &Fleet, id: JobId) -> Option<JobStatus> {
+    fleet.scheduler.job_status(id)
 }
 
 /// Gives such a worker a job of one task, and has it done.
@@ -74,7 +74,7 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 1);
-    assert_eq!(view(&fleet, id), Some(JobView::Completed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
 }
 
 /// Guards against a task that runs again: its done end had a number that the worker's
@@ -112,7 +112,7 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 2);
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
 
 /// Guards against a job that stands still beside idle workers: all tasks of its first
@@ -187,7 +187,7 @@
         assert_eq!(fleet.running().len(), 1, "{late_ms}");
         fleet.end_all(id, EndKind::Done);
         fleet.advance(SETTLED_MS);
-        assert_eq!(view(&fleet, id), Some(JobView::Completed), "{late_ms}");
+        assert_eq!(view(&fleet, id), Some(JobStatus::Completed), "{late_ms}");
     }
 }
 
@@ -261,7 +261,7 @@
     fleet.end_all(id, EndKind::Done);
     fleet.add_worker(&on, "r1");
     fleet.advance(SETTLED_MS);
-    assert_eq!(view(&fleet, id), Some(JobView::Completed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
     let there = fleet.starts.iter().filter(|(_, worker, _)| *worker == on);
     assert!(there.count() > 1, "it serves again");
 }
@@ -288,7 +288,7 @@
 
     let starts = starts_of(&fleet, id);
     assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
 
 /// The same while one owner after the other is killed: the next knows from the store
@@ -313,7 +313,7 @@
     fleet.advance(10_000);
 
     assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
 
 /// Guards against a task that waits for a run that is over: a closed worker was stored
@@ -414,5 +414,5 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 2);
-    assert_eq!(view(&fleet, id), Some(JobView::Failed));
+    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -18,7 +18,7 @@
     Action,
     EndKind,
     Input,
-    JobView,
+    JobStatus,
     PollReport,
     RunName,
     Schedule,
@@ -71,13 +71,13 @@
 
     fleet.end_all(job, EndKind::Done);
     fleet.advance(200);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Running));
     assert_eq!(fleet.highest_last_seen["w0"], 0, "the end is not durable");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
     fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(200);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
 }
 
@@ -102,7 +102,7 @@
     fleet.end_run(&first.0, first.1, EndKind::Done);
     fleet.advance(50);
 
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 #[test]
@@ -118,7 +118,7 @@
 
     fleet.end_all(job, EndKind::Failed);
     fleet.advance(100);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Failed));
     assert!(fleet.running().is_empty(), "two attempts were allowed");
 }
 
@@ -158,7 +158,7 @@
     assert_eq!(times, [BEGIN_MS + 500, BEGIN_MS + 1_500]);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(50);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 #[test]
@@ -182,7 +182,7 @@
     fleet.tell(Input::JobCancelled(job));
     fleet.advance(50);
     assert!(fleet.running().is_empty());
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Cancelled));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Cancelled));
 }
 
 /// Urgent work finds its accelerators lent to patient work. The victims are
@@ -417,7 +417,7 @@
     fleet.advance(100);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(100);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 /// An owner was paused for 14 s, and the first look that it read then had been answered
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -40,31 +40,31 @@
 
     assert_eq!(settings.peer_address.port(), 7_000);
     assert_eq!(settings.metrics_address.port(), 7_001);
-    assert_eq!(settings.strength, 500);
+    assert_eq!(settings.cpu_millis, 500);
     assert_eq!(
         settings.tuning.lease_ms, 3_000,
         "no longer than workers hold"
     );
     assert_eq!(settings.tuning.retention_ms, 90_000);
     assert_eq!(
-        settings.tuning.orders_view_ms,
+        settings.tuning.orders_max_age_ms,
         u64::MAX,
         "no bound is set on orders to empty a data centre"
     );
     let bounded = read_settings(&with("bounds.evacuation_ms", "5000")).unwrap();
     assert_eq!(
-        bounded.tuning.orders_view_ms, 3_363,
+        bounded.tuning.orders_max_age_ms, 3_363,
         "what is left of the bound for a start that is carried out late"
     );
     assert_eq!(
-        settings.tuning.entries_view_ms, 2_863,
+        settings.tuning.entries_max_age_ms, 2_863,
         "the same of 3,000 ms and a heartbeat, where neither is named"
     );
     let slower = read_settings(&with("heartbeat_interval_ms", "2500")).unwrap();
-    assert_eq!(slower.tuning.entries_view_ms, 3_863);
+    assert_eq!(slower.tuning.entries_max_age_ms, 3_863);
     let shorter = read_settings(&with("bounds.contact_ms", "500")).unwrap();
     assert_eq!(
-        shorter.tuning.entries_view_ms, 2_000,
+        shorter.tuning.entries_max_age_ms, 2_000,
         "no less than it takes to hear of entries"
     );
 }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -688,7 +688,7 @@
 
     /// Tells news and carries out nothing yet.
     pub fn tell(&mut self, input: Input) {
-        self.scheduler.take(input, self.now_ms);
+        self.scheduler.handle(input, self.now_ms);
     }
 
     /// Accepts a job.
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -28,7 +28,7 @@
     Input,
     JobRecord,
     JobSpec,
-    JobView,
+    JobStatus,
     OrderingPolicy,
     Queue,
     Resources,
@@ -267,7 +267,7 @@
     }
 
     fn tell(&mut self, input: Input) {
-        self.scheduler.take(input, self.now_ms);
+        self.scheduler.handle(input, self.now_ms);
     }
 
     /// Draws a value with the mean given, long-tailed up to `most`.
@@ -431,10 +431,11 @@
         }
         let scheduler = &self.scheduler;
         for (&id, job) in &mut self.jobs {
-            let view = scheduler.job_view(id);
-            if job.ended_ms.is_none() && matches!(view, Some(JobView::Completed | JobView::Failed))
+            let view = scheduler.job_status(id);
+            if job.ended_ms.is_none()
+                && matches!(view, Some(JobStatus::Completed | JobStatus::Failed))
             {
-                let done = view == Some(JobView::Completed) || job.hopeless;
+                let done = view == Some(JobStatus::Completed) || job.hopeless;
                 job.ended_ms = Some(if done { now_ms } else { u64::MAX });
             }
         }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -22,7 +22,7 @@
     Input,
     JobFailure,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName, //
 };
 use std::sync::Arc;
@@ -90,7 +90,7 @@
     assert_eq!(next.starts.len(), 1, "the second attempt");
     next.end_all(id, EndKind::Done);
     next.advance(100);
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Completed));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Completed));
 }
 
 /// A caller saw a job as failed after one failed run where two attempts are
@@ -105,11 +105,11 @@
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[job], true);
     next.advance(100);
-    let shown_meanwhile = next.scheduler.job_view(id);
+    let shown_meanwhile = next.scheduler.job_status(id);
     next.tell(Input::Configure(Arc::new(configuration(64))));
     next.advance(2_000);
 
-    assert_ne!(shown_meanwhile, Some(JobView::Failed));
+    assert_ne!(shown_meanwhile, Some(JobStatus::Failed));
     assert_second_attempt_completes(&mut next, id);
 }
 
@@ -130,7 +130,7 @@
     next.advance(2_000);
 
     assert!(next.starts.is_empty(), "a third attempt was started");
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
 /// Urgent work waited behind patient work for as long as its owner lived: the
@@ -168,7 +168,7 @@
     fail_twice(&mut fleet, id);
 
     assert_eq!(fleet.starts.len(), 3);
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
 }
 
 /// The same owner never read that version, and the next one has no such queue: what
@@ -182,9 +182,9 @@
     fleet.tell(Input::Configure(Arc::new(without_plain(3))));
     fleet.advance(100);
 
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
     fail_twice(&mut fleet, id);
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Failed));
     assert_eq!(
         (failure(&fleet).max_attempts, failure(&fleet).terms_version),
         (4, 2)
@@ -215,12 +215,12 @@
 
     fleet.tell(Input::Configure(Arc::new(allowing(2, 1))));
     fleet.advance(100);
-    let shown = fleet.scheduler.job_view(id);
+    let shown = fleet.scheduler.job_status(id);
     fleet.end_all(id, EndKind::Done);
     fleet.advance(100);
 
-    assert_eq!(shown, Some(JobView::Running));
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Completed));
+    assert_eq!(shown, Some(JobStatus::Running));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
 }
 
 /// A done task that failed before does not fail its job when the terms of the queue
@@ -245,7 +245,7 @@
     next.tell(Input::Configure(Arc::new(allowing(1, 1))));
     next.advance(200);
 
-    assert_eq!(next.scheduler.job_view(id), Some(JobView::Running));
+    assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Running));
 }
 
 /// Urgent runs were thrown away for others, and a job was late by an objective of
@@ -323,7 +323,7 @@
     fleet.end_run(&worker, name, EndKind::Failed);
     fleet.advance(100);
 
-    assert_eq!(fleet.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Failed));
     assert_eq!(failure(&fleet).name, name);
 }
 
@@ -359,5 +359,5 @@
         "a third attempt: {:?}",
         third.starts
     );
-    assert_eq!(third.scheduler.job_view(id), Some(JobView::Failed));
+    assert_eq!(third.scheduler.job_status(id), Some(JobStatus::Failed));
 }
