--- a/benches/path.rs
+++ b/benches/path.rs
@@ -43,7 +43,7 @@
 
 async fn idle(timer: &Timer) {
     let (bytes, cpu_ms) = (loopback_bytes(), thread_cpu_ms(&DAEMON_THREADS));
-    timer.after(IDLE_MS).await;
+    timer.sleep(IDLE_MS).await;
     let seconds = IDLE_MS as f64 / MS_PER_S;
     let bytes = (loopback_bytes() - bytes) as f64 / seconds;
     let cpu_ms = (thread_cpu_ms(&DAEMON_THREADS) - cpu_ms) as f64;
@@ -63,7 +63,7 @@
             let response = caller.submit(&key, &urgent(200, &key), 10_000).await;
             (asked_ms, response.ok().and_then(|response| response.job))
         }));
-        timer.after(STEADY_GAP_MS).await;
+        timer.sleep(STEADY_GAP_MS).await;
     }
     let mut asked: HashMap<u64, u64> = HashMap::new();
     for job in waiting {
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -71,7 +71,7 @@
     warm_up(&client(&daemons[0], CALLER_TOKEN, timer), timer).await;
     let (mut included, mut excluded) = (Vec::new(), Vec::new());
     for round in 0..FAILOVERS {
-        timer.after(SETTLE_MS).await;
+        timer.sleep(SETTLE_MS).await;
         let Some(owner) = daemons.iter().position(Daemon::is_owner) else {
             continue;
         };
@@ -90,13 +90,13 @@
                     let key = format!("failover-{round}-{at}-{turn}");
                     // A refusal while nobody owns the data centre is expected.
                     let _ = caller.submit(&key, &urgent(1, &key), 5_000).await;
-                    timer.after(10).await;
+                    timer.sleep(10).await;
                 }
             });
         }
         let mut owned_ms = None;
         let started_ms = loop {
-            timer.after(2).await;
+            timer.sleep(2).await;
             if owned_ms.is_none() && daemons.iter().any(Daemon::is_owner) {
                 owned_ms = Some(timer.now_ms());
             }
@@ -158,14 +158,14 @@
         timer,
     )
     .await;
-    timer.after(SETTLE_MS * 2).await;
+    timer.sleep(SETTLE_MS * 2).await;
     let prefix = format!(
         "{}_{}",
         daemons.len(),
         if relay { "relay" } else { "watch" }
     );
     let (calls, bytes, since_ms) = (store_calls(&platform), loopback_bytes(), timer.now_ms());
-    timer.after(SETTLE_MS * 2).await;
+    timer.sleep(SETTLE_MS * 2).await;
     let seconds = (timer.now_ms() - since_ms) as f64 / MS_PER_S;
     let idle = (store_calls(&platform) - calls) as f64 / seconds;
     figure(&format!("store_calls_per_s_idle_{prefix}"), idle);
@@ -185,7 +185,7 @@
             .iter()
             .any(|d| d.configuration_version() <= base_version)
         {
-            timer.after(1).await;
+            timer.sleep(1).await;
             assert!(
                 timer.now_ms() < accepted_ms + 30_000,
                 "a patch is not in force after 30 s"
@@ -212,7 +212,7 @@
         storm as f64 / seconds,
     );
     daemons.iter().for_each(Daemon::kill);
-    timer.after(500).await;
+    timer.sleep(500).await;
 }
 
 /// Bytes and processor time of control work, for each of `daemons` daemons
@@ -233,9 +233,9 @@
     )
     .await;
     warm_up(&client(&daemons[0], CALLER_TOKEN, timer), timer).await;
-    timer.after(SETTLE_MS * 2).await;
+    timer.sleep(SETTLE_MS * 2).await;
     let (bytes, cpu_ms) = (loopback_bytes(), thread_cpu_ms(&DAEMON_THREADS));
-    timer.after(CONTROL_MS).await;
+    timer.sleep(CONTROL_MS).await;
     let bytes = (loopback_bytes() - bytes) as f64 * MS_PER_S / CONTROL_MS as f64;
     let cpu_ms = (thread_cpu_ms(&DAEMON_THREADS) - cpu_ms) as f64;
     let seconds = poll_ms / 1_000;
@@ -247,7 +247,7 @@
     let percent = 100.0 * cpu_ms / CONTROL_MS as f64 / count as f64;
     figure(&format!("control_cpu_percent_{suffix}"), percent);
     daemons.iter().for_each(Daemon::kill);
-    timer.after(500).await;
+    timer.sleep(500).await;
 }
 
 /// Replaces every daemon under load by draining it, while callers go from one
@@ -275,9 +275,9 @@
         })
         .collect();
     for round in 0..3 {
-        timer.after(SETTLE_MS).await;
+        timer.sleep(SETTLE_MS).await;
         let fresh = Rc::new(start(20 + round));
-        timer.after(SETTLE_MS).await;
+        timer.sleep(SETTLE_MS).await;
         let old = {
             let mut daemons = daemons.borrow_mut();
             daemons.push(fresh);
@@ -285,11 +285,11 @@
         };
         old.drain();
         while !old.is_drained() {
-            timer.after(20).await;
+            timer.sleep(20).await;
         }
         old.kill();
     }
-    timer.after(SETTLE_MS).await;
+    timer.sleep(SETTLE_MS).await;
     flow.set(false);
     let (mut answered, mut lost) = (0, 0);
     for caller in callers {
@@ -346,7 +346,7 @@
                 lost += 1;
                 break;
             }
-            timer.after(20).await;
+            timer.sleep(20).await;
         }
     }
     (answered, lost)
@@ -376,11 +376,11 @@
             }
         });
     }
-    timer.after(2_000).await;
+    timer.sleep(2_000).await;
     let name = format!("{DATA_CENTRE}-w0000");
     let left_ms = timer.now_ms();
     platform.with_worker(&name, |worker| worker.set_leaving(true));
-    timer.after(5_000).await;
+    timer.sleep(5_000).await;
     flow.set(false);
     let last_ms = platform
         .with_worker(&name, |worker| worker.last_start_ms)
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -142,7 +142,7 @@
         if applied.is_ok_and(|response| response.status.is_success()) {
             return;
         }
-        timer.after(50).await;
+        timer.sleep(50).await;
     }
     panic!("a patch was not accepted in 20 s");
 }
@@ -156,7 +156,7 @@
         if submitted.is_ok_and(|response| response.job.is_some()) {
             return;
         }
-        timer.after(50).await;
+        timer.sleep(50).await;
     }
     panic!("nothing was served in 20 s");
 }
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -129,7 +129,7 @@
     timer: Timer,
     tally: Rc<RefCell<BTreeMap<&'static str, Tally>>>,
 ) {
-    timer.after(job.at_ms).await;
+    timer.sleep(job.at_ms).await;
     let until_ms = timer.now_ms() + LONGEST_MS;
     let task = TaskSpec {
         run_ms: job.run_ms,
@@ -159,7 +159,7 @@
             Some(name) => client.answer(name, 5_000).await,
         };
         let Ok(response) = response else {
-            timer.after(100).await;
+            timer.sleep(100).await;
             continue;
         };
         if let Some(name) = response.accepted() {
@@ -175,7 +175,7 @@
                 *tally.refused.entry(error.error.clone()).or_default() += 1;
             });
         }
-        timer.after(error.retry_after_ms.unwrap_or(100)).await;
+        timer.sleep(error.retry_after_ms.unwrap_or(100)).await;
     }
 }
 
@@ -222,7 +222,7 @@
         if applied.is_ok_and(|response| response.status.is_success()) {
             return Ok(());
         }
-        timer.after(50).await;
+        timer.sleep(50).await;
     }
     Err("the sample configuration was not accepted in 10 s".to_owned())
 }
@@ -243,7 +243,7 @@
             .sum();
         let after_ms = timer.now_ms() - started_ms + KILL_AFTER_MS;
         println!("{after_ms:>5} ms: {done} of {total} jobs settled");
-        timer.after(1_000).await;
+        timer.sleep(1_000).await;
     }
 }
 
@@ -292,7 +292,7 @@
             actix_rt::spawn(seen)
         })
         .collect();
-    timer.after(KILL_AFTER_MS).await;
+    timer.sleep(KILL_AFTER_MS).await;
     if let Some(at) = running.iter().position(Daemon::is_owner) {
         let after_ms = timer.now_ms() - started_ms;
         println!("{after_ms:>5} ms: killing daemon {}, the owner", at + 1);
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -171,7 +171,7 @@
     pub async fn answer(&self, address: &str, attempt: AttemptId) -> Option<ClientResponse> {
         let query = encode(&WorkerQuery::of(attempt, 0, 0));
         let request = self.client.get(format!("http://{address}/answer?{query}"));
-        let response = self.timer.limit(WORKER_TIMEOUT_MS, request.send()).await;
+        let response = self.timer.timeout(WORKER_TIMEOUT_MS, request.send()).await;
         let response = response.ok()?.ok()?;
         (response.status() == StatusCode::OK).then(|| response.map_body(|_, body| body))
     }
@@ -182,7 +182,7 @@
             _ => 0,
         };
         let sent = self.send_store(call);
-        let answered = self.timer.limit(STORE_TIMEOUT_MS + wait_ms, sent).await;
+        let answered = self.timer.timeout(STORE_TIMEOUT_MS + wait_ms, sent).await;
         answered.unwrap_or(Err(StoreFailure::Timeout))
     }
 
@@ -264,7 +264,7 @@
         if !tag.is_empty() {
             request = request.insert_header(("if-none-match", tag));
         }
-        let response = self.timer.limit(LIST_TIMEOUT_MS, request.send()).await;
+        let response = self.timer.timeout(LIST_TIMEOUT_MS, request.send()).await;
         let mut response = response.ok()?.ok()?;
         if response.status() == StatusCode::NOT_MODIFIED {
             return Some(ListAnswer::Unchanged);
@@ -288,7 +288,9 @@
             WorkerCall::Poll { wait_ms, .. } => wait_ms + POLL_SLACK_MS,
             _ => WORKER_TIMEOUT_MS,
         };
-        let answered = self.timer.limit(limit_ms, self.send_worker(address, call));
+        let answered = self
+            .timer
+            .timeout(limit_ms, self.send_worker(address, call));
         answered.await.unwrap_or(Err(WorkerFailure::Silent))
     }
 
--- a/src/client.rs
+++ b/src/client.rs
@@ -220,7 +220,7 @@
         let limit_ms = wait_ms + CONNECT_SLACK_MS;
         let sent = self.send_unlimited(method, path, key, body);
         self.timer
-            .limit(limit_ms, sent)
+            .timeout(limit_ms, sent)
             .await
             .unwrap_or(Err(ClientError::Cut))
     }
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -20,7 +20,7 @@
     while node.epoch() == epoch {
         let Some(batch) = node.pending_writes.batch(node.root_revision()) else {
             node.pending_writes.changed().await;
-            node.timer.after(GATHER_MS).await;
+            node.timer.sleep(GATHER_MS).await;
             continue;
         };
         let sent_ms = node.now_ms();
@@ -37,7 +37,7 @@
                 node.control
                     .send_input(epoch, Input::EpochConfirmed(sent_ms));
                 tell_stored(&node, epoch, batch);
-                node.timer.after(GATHER_MS).await;
+                node.timer.sleep(GATHER_MS).await;
             }
             Ok(CommitResult::Conflict(items)) => {
                 if !node
@@ -55,7 +55,7 @@
                     StoreError::Refused => "store_refused",
                     StoreError::NoAnswer => "store_silent",
                 });
-                node.timer.after(RETRY_MS).await;
+                node.timer.sleep(RETRY_MS).await;
             }
         }
     }
--- a/src/cluster/control.rs
+++ b/src/cluster/control.rs
@@ -242,7 +242,7 @@
             }
             Action::StoreRoster => roster = true,
             Action::StoreClosedWorker { worker } => {
-                let row = scheduler.closed_row(*worker);
+                let row = scheduler.closed_record(*worker);
                 let row = row.map(|(closed, runs)| ClosedRecord::of(closed, &runs));
                 let info = &scheduler.workers()[worker.index()].info;
                 closed.insert(info.worker_name.clone(), row);
--- a/src/cluster/daemon.rs
+++ b/src/cluster/daemon.rs
@@ -282,7 +282,7 @@
         node.drain();
         let last_ms = began_ms + node.settings.grace_ms.saturating_sub(DRAIN_MARGIN_MS);
         loop {
-            node.timer.after(DRAIN_CHECK_MS).await;
+            node.timer.sleep(DRAIN_CHECK_MS).await;
             let now_ms = node.now_ms();
             let served = now_ms >= began_ms + DRAIN_MS && node.requests.get() == 0;
             if served || now_ms >= last_ms {
--- a/src/cluster/heartbeat.rs
+++ b/src/cluster/heartbeat.rs
@@ -62,7 +62,7 @@
         // slept to its end was taken for dead before its first heartbeat, after 2.4 s
         // among 297, though it worked; its successor took over anew.
         tokio::select! {
-            _ = node.timer.after(interval_ms) => {}
+            _ = node.timer.sleep(interval_ms) => {}
             () = node.until_owning() => {}
         }
     }
@@ -75,7 +75,7 @@
         let received = socket.recv_from(&mut buffer).await;
         let Ok((length, from)) = received else {
             // As when an earlier datagram found no listener.
-            node.timer.after(1).await;
+            node.timer.sleep(1).await;
             continue;
         };
         match Heartbeat::decode(&buffer[..length]) {
@@ -133,7 +133,7 @@
 /// Takes over when that is due.
 pub async fn elect(node: Rc<Node>) {
     loop {
-        node.timer.after(ELECTION_MS).await;
+        node.timer.sleep(ELECTION_MS).await;
         if node.owns() || node.is_draining() {
             continue;
         }
@@ -143,7 +143,7 @@
         {
             metrics::counter!("fuchsiaslip_takeovers_failed_total").increment(1);
             log::debug!("the takeover failed: {error}");
-            node.timer.after(FAILED_TAKEOVER_MS).await;
+            node.timer.sleep(FAILED_TAKEOVER_MS).await;
         }
     }
 }
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -74,7 +74,7 @@
             let Some(known) = node.valid_value(StoredKind::Root, &item, read) else {
                 // Taken for none, it would be followed by the first epoch, whose
                 // orders every worker refuses, and two owners could share it.
-                node.timer.after(UNREAD_ROOT_MS).await;
+                node.timer.sleep(UNREAD_ROOT_MS).await;
                 return Ok(());
             };
             known
@@ -140,7 +140,7 @@
         if begun.is_ok() || is_followed(node, taken.epoch) {
             break;
         }
-        node.timer.after(BEGIN_AGAIN_MS).await;
+        node.timer.sleep(BEGIN_AGAIN_MS).await;
         begun = begin(node, &taken).await;
     }
     if let Err(error) = &begun {
@@ -265,11 +265,11 @@
             Ok(Some(item)) if item.revision == node.root_revision() => {
                 node.control
                     .send_input(epoch, Input::EpochConfirmed(sent_ms));
-                node.timer.after(CONFIRM_MS).await;
+                node.timer.sleep(CONFIRM_MS).await;
             }
             Ok(_) => return node.stop_owning("root_changed"),
             Err(_) => {
-                node.timer.after(CONFIRM_AGAIN_MS).await;
+                node.timer.sleep(CONFIRM_AGAIN_MS).await;
             }
         }
     }
--- a/src/cluster/peer_connections.rs
+++ b/src/cluster/peer_connections.rs
@@ -100,7 +100,7 @@
             self.links.borrow_mut().remove(&address);
             return None;
         }
-        match self.timer.limit(limit_ms, answered).await {
+        match self.timer.timeout(limit_ms, answered).await {
             Ok(answer) => answer.ok(),
             Err(_) => {
                 metrics::counter!("fuchsiaslip_retries_total", "reason" => "peer_silent")
@@ -127,7 +127,7 @@
         let timer = self.timer.clone();
         actix_rt::spawn(async move {
             let connecting = TcpStream::connect(address);
-            if let Ok(Ok(stream)) = timer.limit(CONNECT_LIMIT_MS, connecting).await {
+            if let Ok(Ok(stream)) = timer.timeout(CONNECT_LIMIT_MS, connecting).await {
                 carry(stream, outgoing, &waiting).await;
             }
             // Whoever still waits learns at once that no answer comes.
--- a/src/cluster/store_probe.rs
+++ b/src/cluster/store_probe.rs
@@ -16,7 +16,7 @@
     loop {
         let daemons = node.other_count() as u64;
         let wait_ms = PROBE_MS.max(daemons * PROBE_PER_DAEMON_MS);
-        node.timer.after(wait_ms).await;
+        node.timer.sleep(wait_ms).await;
         if !node.is_store_overdue() {
             continue;
         }
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -97,7 +97,7 @@
         match step {
             Ok(next) => revision = next,
             Err(_) => {
-                node.timer.after(AGAIN_MS).await;
+                node.timer.sleep(AGAIN_MS).await;
             }
         }
     }
@@ -112,7 +112,7 @@
     emptying::take_list(node, &range, asked_ms);
     let mut items = range.items.iter();
     let Some(item) = items.find(|item| item.key == CONFIGURATION_KEY) else {
-        node.timer.after(AGAIN_MS).await;
+        node.timer.sleep(AGAIN_MS).await;
         return Ok(None);
     };
     take_configuration(node, item);
@@ -152,7 +152,7 @@
         if node.abandon_after_outage(read).await.is_ok() {
             return;
         }
-        node.timer.after(AGAIN_MS).await;
+        node.timer.sleep(AGAIN_MS).await;
     }
 }
 
@@ -241,7 +241,7 @@
             (true, true) => FIRST_MEMBERS_MS,
             (true, false) => MEMBERS_MS,
         };
-        node.timer.after(wait_ms).await;
+        node.timer.sleep(wait_ms).await;
     }
 }
 
@@ -347,12 +347,12 @@
                     range.items.into_iter().map(StoreEvent::Put).collect()
                 }
                 Err(_) => {
-                    node.timer.after(AGAIN_MS).await;
+                    node.timer.sleep(AGAIN_MS).await;
                     continue;
                 }
             },
             Err(_) => {
-                node.timer.after(AGAIN_MS).await;
+                node.timer.sleep(AGAIN_MS).await;
                 continue;
             }
         };
@@ -371,7 +371,7 @@
         Some(JobKeyKind::Job(id)) => {
             let read = decode_job_record(&item.value);
             let input = match node.valid_value(StoredKind::Job, item, read) {
-                Some(record) => Input::Job {
+                Some(record) => Input::JobStored {
                     id,
                     record: Arc::new(record),
                     progress: None,
@@ -416,7 +416,7 @@
                 }
             }
             Err(_) => {
-                node.timer.after(AGAIN_MS).await;
+                node.timer.sleep(AGAIN_MS).await;
             }
         }
     }
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -210,7 +210,7 @@
 }
 
 fn job_input(id: JobId, record: JobRecord, progress: Option<ProgressRecord>) -> Input {
-    Input::Job {
+    Input::JobStored {
         id,
         record: Arc::new(record),
         progress,
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -115,7 +115,7 @@
 
 /// Tells this daemon's own scheduler of a stored job.
 fn take_job(node: &Node, job: JobId, record: JobRecord) {
-    let input = Input::Job {
+    let input = Input::JobStored {
         id: job,
         record: Arc::new(record),
         progress: None,
@@ -157,7 +157,7 @@
         if node.now_ms() + AGAIN_MS >= until_ms || !node.accepts_jobs() {
             return StorageOutcome::Unknown;
         }
-        node.timer.after(AGAIN_MS).await;
+        node.timer.sleep(AGAIN_MS).await;
     }
 }
 
@@ -248,7 +248,7 @@
                 return StorageOutcome::Unknown;
             }
             Err(StoreError::NoAnswer) => {
-                node.timer.after(AGAIN_MS).await;
+                node.timer.sleep(AGAIN_MS).await;
             }
         }
     }
@@ -280,7 +280,7 @@
             Some(None) => break,
             None if node.now_ms() + OWNER_AGAIN_MS >= wait_until_ms => break,
             None => {
-                node.timer.after(OWNER_AGAIN_MS).await;
+                node.timer.sleep(OWNER_AGAIN_MS).await;
             }
         }
     }
@@ -349,7 +349,7 @@
         if answer.is_some() || node.now_ms() + OWNER_AGAIN_MS >= until_ms {
             return answer;
         }
-        node.timer.after(OWNER_AGAIN_MS).await;
+        node.timer.sleep(OWNER_AGAIN_MS).await;
     }
 }
 
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -29,7 +29,7 @@
 pub async fn read_again(node: Rc<Node>, epoch: u64) {
     let mut from = JobId(0);
     loop {
-        node.timer.after(AGAIN_MS).await;
+        node.timer.sleep(AGAIN_MS).await;
         if node.epoch() != epoch {
             return;
         }
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -48,8 +48,8 @@
     NotBegun,
     /// A new owner learned that the worker knows nothing of the attempt.
     Unknown,
-    /// The worker restarted: its tasks are gone, begun or not.
-    Vanished,
+    /// The worker restarted, and the task was lost with it, begun or not.
+    LostInRestart,
 }
 
 /// News of one member.
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -124,7 +124,7 @@
                 self.member_gone(key, worker, false);
                 self.after_loss(key, RetryReason::FoundNotBegun);
             }
-            MemberEvent::Unknown | MemberEvent::Vanished => {
+            MemberEvent::Unknown | MemberEvent::LostInRestart => {
                 self.member_gone(key, worker, true);
                 self.after_loss(key, RetryReason::WorkerLost);
             }
--- a/src/daemon/answer.rs
+++ b/src/daemon/answer.rs
@@ -111,7 +111,10 @@
 {
     async fn next(&mut self) -> Option<Result<Bytes, AnswerError>> {
         while !self.done {
-            let chunk = self.timer.limit(CHUNK_TIMEOUT_MS, self.chunks.next()).await;
+            let chunk = self
+                .timer
+                .timeout(CHUNK_TIMEOUT_MS, self.chunks.next())
+                .await;
             match chunk {
                 Ok(Some(Ok(chunk))) => {
                     self.hasher.update(&chunk);
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -125,7 +125,7 @@
 
 impl ControlThread {
     async fn run(&mut self, mut messages: mpsc::Receiver<ControlMessage>) {
-        let mut ticks = self.timer.every(TICK_MS);
+        let mut ticks = self.timer.interval(TICK_MS);
         loop {
             tokio::select! {
                 message = messages.recv() => match message {
--- a/src/daemon/directory.rs
+++ b/src/daemon/directory.rs
@@ -47,7 +47,11 @@
 
 /// The data centre that holds the job of an account's idempotency key: the one
 /// of the account's data centres with the greatest hash.
-pub fn home_of<'a>(data_centres: &'a [String], account: &str, key: &str) -> Option<&'a String> {
+pub fn home_data_centre<'a>(
+    data_centres: &'a [String],
+    account: &str,
+    key: &str,
+) -> Option<&'a String> {
     let name = format!("{account}\0{key}");
     data_centres.iter().max_by_key(|at| weight(at, &name))
 }
@@ -125,25 +129,25 @@
 
     /// Daemons of the data centre that share its workers, this one included
     /// unless it drains.
-    fn keepers(&self, now_ms: u64, draining: bool) -> Vec<String> {
+    fn monitors(&self, now_ms: u64, draining: bool) -> Vec<String> {
         let state = self.state();
         let alive = state.heard.values();
-        let mut keepers: Vec<String> = alive
+        let mut monitors: Vec<String> = alive
             .filter(|heard| heard.at_ms + ALIVE_MS > now_ms && !heard.heartbeat.draining)
             .map(|heard| heard.heartbeat.daemon.clone())
             .collect();
-        if !draining || keepers.is_empty() {
-            keepers.push(self.daemon.clone());
+        if !draining || monitors.is_empty() {
+            monitors.push(self.daemon.clone());
         }
-        keepers
+        monitors
     }
 
     /// Workers that this daemon keeps: those for which its hash is greatest,
     /// so that a daemon that comes or goes moves only its own share.
     pub fn kept_workers(&self, now_ms: u64, draining: bool) -> Vec<VmRecord> {
-        let keepers = self.keepers(now_ms, draining);
+        let monitors = self.monitors(now_ms, draining);
         let is_kept = |vm: &&VmRecord| {
-            let best = keepers.iter().max_by_key(|name| weight(name, &vm.name));
+            let best = monitors.iter().max_by_key(|name| weight(name, &vm.name));
             best.is_some_and(|best| *best == self.daemon)
         };
         let state = self.state();
@@ -159,7 +163,7 @@
     /// behind wait longer, so that the store is not stormed.
     pub fn rank(&self, now_ms: u64) -> u64 {
         let own = weight(&self.daemon, &self.data_centre);
-        let others = self.keepers(now_ms, true);
+        let others = self.monitors(now_ms, true);
         let ahead = others
             .iter()
             .filter(|name| **name != self.daemon && weight(name, &self.data_centre) > own);
--- a/src/daemon/entry/jobs.rs
+++ b/src/daemon/entry/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::super::answer;
 use super::super::auth::Caller;
-use super::super::directory::home_of;
+use super::super::directory::home_data_centre;
 use super::body::{
     self,
     SubmitBody,
@@ -109,7 +109,7 @@
         let configuration = self.current().ok_or(ApiError::UnknownToken)?;
         let declared = configuration.declaration.account(account);
         let data_centres = declared.map(|account| account.data_centres.as_slice());
-        home_of(data_centres.unwrap_or_default(), account, key)
+        home_data_centre(data_centres.unwrap_or_default(), account, key)
             .cloned()
             .ok_or(ApiError::UnknownToken)
     }
@@ -128,7 +128,7 @@
             let left_ms = until_ms - timer.now_ms();
             let reply = tokio::select! {
                 reply = self.route(data_centre, Request::Wait(job)) => reply,
-                _ = timer.after(left_ms) => return Ok(None),
+                _ = timer.sleep(left_ms) => return Ok(None),
                 () = self.drained() => return Ok(None),
             };
             match reply {
@@ -136,7 +136,7 @@
                 Reply::NotFound => return Err(ApiError::NoSuchJob),
                 // The ownership changes; the job is where it was.
                 _ => {
-                    timer.after(DRAIN_CHECK_MS).await;
+                    timer.sleep(DRAIN_CHECK_MS).await;
                 }
             }
         }
@@ -145,7 +145,7 @@
 
     async fn drained(&self) {
         while !self.shared.status.is_draining() {
-            self.shared.timer.after(DRAIN_CHECK_MS).await;
+            self.shared.timer.sleep(DRAIN_CHECK_MS).await;
         }
     }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: entry, candidate owner and keeper in one process.
+//! The daemon: entry, candidate owner and worker monitor in one process.
 
 mod answer;
 mod auth;
@@ -20,7 +20,7 @@
     Caller,
     token_digest, //
 };
-pub use directory::home_of;
+pub use directory::home_data_centre;
 pub use patch::{
     PatchOutcome,
     check,
--- a/src/daemon/peer.rs
+++ b/src/daemon/peer.rs
@@ -114,7 +114,7 @@
                     actix_rt::spawn(self.clone().serve(stream));
                 }
                 Err(_) => {
-                    self.shared.timer.after(OWNER_RETRY_MS).await;
+                    self.shared.timer.sleep(OWNER_RETRY_MS).await;
                 }
             }
         }
@@ -126,7 +126,7 @@
         let first = self
             .shared
             .timer
-            .limit(HELLO_TIMEOUT_MS, framed.next())
+            .timeout(HELLO_TIMEOUT_MS, framed.next())
             .await;
         let known = match first {
             Ok(Some(Ok(Frame {
@@ -220,11 +220,14 @@
     async fn answer(&self, request: RequestFrame) -> ReplyBody {
         let control = &self.shared.control;
         match request.body {
-            Some(RequestBody::News(body)) => {
-                let Some((worker, news)) = body.into_news() else {
+            Some(RequestBody::WorkerUpdate(body)) => {
+                let Some((worker, update)) = body.into_update() else {
                     return ReplyBody::NotFound(true);
                 };
-                match control.acknowledged(Event::News { worker, news }).await {
+                match control
+                    .acknowledged(Event::WorkerUpdate { worker, update })
+                    .await
+                {
                     true => ReplyBody::Taken(true),
                     false => ReplyBody::NotOwner(true),
                 }
@@ -282,7 +285,7 @@
             }
             metrics::counter!("fuchsiaslip_retries_total", "reason" => "owner_changed")
                 .increment(1);
-            self.shared.timer.after(OWNER_RETRY_MS).await;
+            self.shared.timer.sleep(OWNER_RETRY_MS).await;
         }
     }
 
@@ -304,19 +307,19 @@
     }
 
     /// Delivers news to the owner; says whether an owner took it in.
-    pub async fn deliver(&self, body: crate::wire::NewsBody) -> bool {
+    pub async fn deliver(&self, body: crate::wire::WorkerUpdateBody) -> bool {
         if self.shared.status.owner_epoch() > 0 {
-            let Some((worker, news)) = body.into_news() else {
+            let Some((worker, update)) = body.into_update() else {
                 return true;
             };
-            let event = Event::News { worker, news };
+            let event = Event::WorkerUpdate { worker, update };
             return self.shared.control.acknowledged(event).await;
         }
         let owner = self.shared.directory.owner(self.shared.timer.now_ms());
         let Some((address, _, _)) = owner else {
             return false;
         };
-        let reply = self.ask(&address, RequestBody::News(body), 0).await;
+        let reply = self.ask(&address, RequestBody::WorkerUpdate(body), 0).await;
         matches!(reply, Some(ReplyBody::Taken(_)))
     }
 
@@ -350,7 +353,7 @@
         let connected = self
             .shared
             .timer
-            .limit(CONNECT_TIMEOUT_MS, connecting)
+            .timeout(CONNECT_TIMEOUT_MS, connecting)
             .await;
         let Ok(Ok(stream)) = connected else {
             return;
@@ -405,7 +408,7 @@
         let mut last_owner_ms = started_ms;
         let mut told_version = 0;
         let mut round = 0;
-        let mut ticks = self.shared.timer.every(OWNER_HEARTBEAT_MS);
+        let mut ticks = self.shared.timer.interval(OWNER_HEARTBEAT_MS);
         loop {
             let now_ms = ticks.next().await;
             round += 1;
@@ -421,8 +424,11 @@
                 last_owner_ms = now_ms;
             }
             let patience_ms = OWNER_HEARTBEAT_MS * self.shared.directory.rank(now_ms);
-            let contest = is_owner || now_ms >= last_owner_ms + patience_ms && owner.is_none();
-            self.shared.control.event(Event::Contest(contest)).await;
+            let is_candidate = is_owner || now_ms >= last_owner_ms + patience_ms && owner.is_none();
+            self.shared
+                .control
+                .event(Event::Candidacy(is_candidate))
+                .await;
         }
     }
 
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -21,7 +21,7 @@
 use super::status::Status;
 use super::traffic;
 use super::watch::Watch;
-use super::worker_monitor::Keeper;
+use super::worker_monitor::WorkerMonitor;
 use crate::backend::{
     HttpPlatform,
     ListAnswer,
@@ -72,7 +72,7 @@
 /// The balancer and the peers learn of the drain within this time.
 const DRAIN_NOTICE_MS: u64 = 1_000;
 
-/// A process of fuchsiaslip: entry, candidate owner and keeper.
+/// A process of fuchsiaslip: entry, candidate owner and worker monitor.
 #[derive(FromArgs)]
 #[argh(
     name = "fuchsiaslipd",
@@ -190,7 +190,7 @@
 async fn drain_on_signal(daemon: &Daemon) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let mut checks = daemon.timer.every(DRAIN_CHECK_MS);
+    let mut checks = daemon.timer.interval(DRAIN_CHECK_MS);
     loop {
         tokio::select! {
             _ = terminate.recv() => daemon.signalled(),
@@ -422,7 +422,7 @@
             self.control.clone(),
         );
         let store = platform.store();
-        let keeper = Keeper::open(
+        let worker_monitor = WorkerMonitor::open(
             platform.workers(),
             self.timer.clone(),
             self.status.clone(),
@@ -451,7 +451,7 @@
             actix_rt::spawn(peers.clone().accept(listener));
         }
         actix_rt::spawn(watch.run());
-        actix_rt::spawn(keeper.run());
+        actix_rt::spawn(worker_monitor.run());
         actix_rt::spawn(peers.clone().beat());
         let parts = std::rc::Rc::new(self);
         actix_rt::spawn(parts.clone().follow_list(platform.membership()));
@@ -465,7 +465,7 @@
     /// Follows the platform's list: the own data centre, and less often the
     /// daemons of the others. A list that has not changed costs a few bytes.
     async fn follow_list(self: std::rc::Rc<Self>, membership: Membership) {
-        let mut ticks = self.timer.every(self.settings.list_ms);
+        let mut ticks = self.timer.interval(self.settings.list_ms);
         let (mut here_tag, mut daemons_tag) = (String::new(), String::new());
         for round in 0u64.. {
             self.list_here(&membership, &mut here_tag).await;
@@ -504,7 +504,7 @@
 
     async fn follow_drain(self: std::rc::Rc<Self>, peers: Peers) {
         while !self.status.is_draining() {
-            self.timer.after(DRAIN_CHECK_MS).await;
+            self.timer.sleep(DRAIN_CHECK_MS).await;
         }
         peers.tell_peers(self.timer.now_ms());
         self.control.event(Event::Drain).await;
--- a/src/daemon/watch.rs
+++ b/src/daemon/watch.rs
@@ -50,7 +50,7 @@
         let mut failures = 0;
         loop {
             if self.relayed() {
-                self.timer.after(RELAY_CHECK_MS).await;
+                self.timer.sleep(RELAY_CHECK_MS).await;
                 continue;
             }
             match self.watch_once().await {
@@ -58,7 +58,7 @@
                 false => {
                     failures += 1;
                     let wait_ms = (RETRY_MS << failures.min(8)).min(MAX_RETRY_MS);
-                    self.timer.after(wait_ms).await;
+                    self.timer.sleep(wait_ms).await;
                 }
             }
         }
--- a/src/daemon/worker_monitor.rs
+++ b/src/daemon/worker_monitor.rs
@@ -1,4 +1,4 @@
-//! The keeper: renews the leases of a share of the workers and tells the owner
+//! The worker monitor: renews the leases of a share of the workers and tells the owner
 //! what changed there.
 
 use super::directory::Directory;
@@ -11,9 +11,9 @@
     WorkerCall,
     Workers, //
 };
-use crate::owner::WorkerNews;
+use crate::owner::WorkerUpdate;
 use crate::timer::Timer;
-use crate::wire::NewsBody;
+use crate::wire::WorkerUpdateBody;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -25,9 +25,9 @@
 /// Failed polls before the owner is told.
 const SILENT_AFTER: u32 = 2;
 
-/// What a keeper needs; lives on the traffic thread.
+/// Polls a share of the workers; lives on the traffic thread.
 #[derive(Clone)]
-pub struct Keeper {
+pub struct WorkerMonitor {
     shared: Rc<Shared>,
 }
 
@@ -42,7 +42,7 @@
     kept: RefCell<HashSet<String>>,
 }
 
-/// What the keeper knows of one worker.
+/// What the monitor knows of one worker.
 #[derive(Default)]
 struct Watched {
     cursor: u64,
@@ -54,8 +54,8 @@
     seen_ms: u64,
 }
 
-impl Keeper {
-    /// A keeper that keeps nothing yet.
+impl WorkerMonitor {
+    /// A monitor without any workers yet.
     pub fn open(
         workers: Workers,
         timer: Timer,
@@ -92,7 +92,7 @@
                     actix_rt::spawn(self.clone().keep(vm));
                 }
             }
-            self.shared.timer.after(REVIEW_MS).await;
+            self.shared.timer.sleep(REVIEW_MS).await;
         }
     }
 
@@ -133,19 +133,19 @@
         let epoch = self.owner_epoch();
         let tell = restarted || watched.leaving != answer.leaving || watched.told_epoch != epoch;
         if tell {
-            let seen = WorkerNews::Seen {
+            let seen = WorkerUpdate::Seen {
                 incarnation: answer.incarnation,
                 leaving: answer.leaving,
             };
             if !self.deliver(worker, seen).await {
-                self.shared.timer.after(DELIVERY_RETRY_MS).await;
+                self.shared.timer.sleep(DELIVERY_RETRY_MS).await;
                 return;
             }
         }
         if !answer.changes.is_empty() {
-            let changes = WorkerNews::Changes(answer.changes);
+            let changes = WorkerUpdate::Changes(answer.changes);
             if !self.deliver(worker, changes).await {
-                self.shared.timer.after(DELIVERY_RETRY_MS).await;
+                self.shared.timer.sleep(DELIVERY_RETRY_MS).await;
                 return;
             }
         }
@@ -167,18 +167,19 @@
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "poll_silent").increment(1);
         if watched.failures >= SILENT_AFTER {
             let silent_ms = sent_ms.saturating_sub(watched.seen_ms);
-            self.deliver(worker, WorkerNews::Silent { silent_ms }).await;
+            self.deliver(worker, WorkerUpdate::Silent { silent_ms })
+                .await;
             // The worker is announced again when it answers.
             watched.told_epoch = 0;
             watched.incarnation = None;
         }
-        self.shared.timer.after(RETRY_MS).await;
+        self.shared.timer.sleep(RETRY_MS).await;
     }
 
-    async fn deliver(&self, worker: &str, news: WorkerNews) -> bool {
+    async fn deliver(&self, worker: &str, update: WorkerUpdate) -> bool {
         self.shared
             .peers
-            .deliver(NewsBody::new(worker, &news))
+            .deliver(WorkerUpdateBody::new(worker, &update))
             .await
     }
 }
--- a/src/ledger/job_pages.rs
+++ b/src/ledger/job_pages.rs
@@ -38,9 +38,9 @@
     size_bytes: usize,
 }
 
-/// All jobs of a ledger.
+/// All jobs of a ledger, by page.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct JobPages {
     jobs: BTreeMap<u64, Entry>,
     pages: BTreeMap<u32, Page>,
     /// Jobs changed since they were last on a page.
@@ -59,7 +59,7 @@
     pub content: PageRecord,
 }
 
-impl Book {
+impl JobPages {
     /// Takes in a stored page.
     pub fn load_page(&mut self, number: u32, content: PageRecord) {
         self.open_page = self.open_page.max(number);
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -1,9 +1,9 @@
 //! Committing changes: one compare-and-swap carries all that has gathered.
 
 use super::{
-    Book,
     Change,
     EnvelopeError,
+    JobPages,
     PageRef,
     RootRecord,
     root, //
@@ -72,7 +72,7 @@
     root_version: u64,
     pages: BTreeMap<u32, PageRef>,
     slot_versions: BTreeMap<String, u64>,
-    book: Book,
+    job_pages: JobPages,
     sequence: u64,
     configuration_version: u64,
     tail: Vec<Change>,
@@ -110,7 +110,7 @@
             root_version: 0,
             pages: BTreeMap::new(),
             slot_versions: BTreeMap::new(),
-            book: Book::default(),
+            job_pages: JobPages::default(),
             sequence: 0,
             configuration_version: 0,
             tail: Vec::new(),
@@ -127,7 +127,7 @@
 
     /// Adds a change to the next commit and returns its number.
     pub fn push(&mut self, change: Change) -> u64 {
-        self.book.apply(&change);
+        self.job_pages.apply(&change);
         self.pending.push(change);
         self.pushed += 1;
         self.pushed
@@ -149,8 +149,8 @@
     }
 
     /// The jobs.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn job_pages(&self) -> &JobPages {
+        &self.job_pages
     }
 
     /// The configuration version that the ledger was last written with.
@@ -219,7 +219,7 @@
         self.pending.clear();
         let mut pages = self.pages.clone();
         let mut waiting = VecDeque::new();
-        for folded in self.book.fold() {
+        for folded in self.job_pages.fold() {
             let number = folded.number;
             if folded.content.jobs.is_empty() {
                 pages.remove(&number);
@@ -357,11 +357,11 @@
             return JournalEvent::Damaged(EnvelopeError::Torn);
         };
         match root::decode_page(value, &reference) {
-            Ok(content) => self.book.load_page(reference.number, content),
+            Ok(content) => self.job_pages.load_page(reference.number, content),
             Err(EnvelopeError::Checksum) => {
                 // The previous owner moved on while this one was reading, and
                 // wrote the slot again: begin anew from the root.
-                self.book = Book::default();
+                self.job_pages = JobPages::default();
                 self.step = Step::ReadingRoot;
                 self.call_due = true;
                 return JournalEvent::Pending;
@@ -376,7 +376,7 @@
     /// Writes the root with the next epoch, which fences the previous owner.
     fn take_over(&mut self, root: RootRecord) {
         for change in &root.tail {
-            self.book.apply(change);
+            self.job_pages.apply(change);
         }
         self.epoch = root.epoch + 1;
         self.sequence = root.sequence;
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -16,8 +16,8 @@
     seal, //
 };
 pub use job_pages::{
-    Book,
     FoldedPage,
+    JobPages,
     PageRecord, //
 };
 pub use journal::{
--- a/src/owner/message.rs
+++ b/src/owner/message.rs
@@ -98,9 +98,9 @@
     OutcomeUnknown,
 }
 
-/// What a keeper learned of a worker.
+/// A change that a worker monitor saw on a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum WorkerNews {
+pub enum WorkerUpdate {
     /// Tasks changed.
     Changes(Vec<TaskChange>),
     /// No renewal has reached it for so long.
@@ -143,12 +143,12 @@
         /// How.
         result: Result<WorkerAnswer, WorkerFailure>,
     },
-    /// A keeper reports a worker.
-    News {
+    /// A worker monitor reports a change on a worker.
+    WorkerUpdate {
         /// The worker's name.
         worker: String,
-        /// What it learned.
-        news: WorkerNews,
+        /// The change.
+        update: WorkerUpdate,
     },
     /// A version of the configuration.
     Configuration(Arc<Configuration>),
@@ -160,8 +160,8 @@
     },
     /// The platform's list of this data centre's VMs.
     Members(Vec<VmRecord>),
-    /// Whether this daemon should own the data centre if nobody does.
-    Contest(bool),
+    /// Whether this daemon is a candidate for an ownership that is vacant.
+    Candidacy(bool),
     /// Take nothing new and hand the ownership over.
     Drain,
 }
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -20,7 +20,7 @@
     Event,
     Reply,
     Request,
-    WorkerNews, //
+    WorkerUpdate, //
 };
 pub use state::{
     Owner,
--- a/src/owner/outbox.rs
+++ b/src/owner/outbox.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Meaning {
     /// News of the member.
-    News(MemberEvent),
+    Event(MemberEvent),
     /// Nothing to do now.
     Nothing,
 }
@@ -94,7 +94,7 @@
     pub fn silent(&mut self, outgoing: Outgoing, now_ms: u64) -> Meaning {
         let reserving = matches!(outgoing.call, WorkerCall::Reserve { .. });
         if reserving && outgoing.tries >= MAX_RESERVE_TRIES {
-            return Meaning::News(MemberEvent::ReserveRefused);
+            return Meaning::Event(MemberEvent::ReserveRefused);
         }
         let wait_ms = (FIRST_RETRY_MS << outgoing.tries.min(8)).min(MAX_RETRY_MS);
         self.schedule(outgoing, now_ms + wait_ms);
@@ -108,20 +108,20 @@
             // ledger, and decides nothing on this answer.
             (_, WorkerAnswer::Refused(WorkerRefusal::StaleEpoch)) => Meaning::Nothing,
             (WorkerCall::Reserve { .. }, WorkerAnswer::Done) => {
-                Meaning::News(MemberEvent::Reserved)
+                Meaning::Event(MemberEvent::Reserved)
             }
             (WorkerCall::Reserve { .. }, WorkerAnswer::Refused(_)) => {
-                Meaning::News(MemberEvent::ReserveRefused)
+                Meaning::Event(MemberEvent::ReserveRefused)
             }
-            (WorkerCall::Start { .. }, WorkerAnswer::Done) => Meaning::News(MemberEvent::Started),
+            (WorkerCall::Start { .. }, WorkerAnswer::Done) => Meaning::Event(MemberEvent::Started),
             (WorkerCall::Start { .. }, WorkerAnswer::Refused(WorkerRefusal::CannotStart)) => {
-                Meaning::News(MemberEvent::StartRefused)
+                Meaning::Event(MemberEvent::StartRefused)
             }
             (WorkerCall::Start { .. }, WorkerAnswer::Refused(_)) => {
-                Meaning::News(MemberEvent::ReserveRefused)
+                Meaning::Event(MemberEvent::ReserveRefused)
             }
             (WorkerCall::Stop { .. }, WorkerAnswer::State(TaskState::Unknown)) => {
-                Meaning::News(MemberEvent::Stopped { progress_ms: 0 })
+                Meaning::Event(MemberEvent::Stopped { progress_ms: 0 })
             }
             (WorkerCall::Stop { grace_ms, .. }, WorkerAnswer::Done) => {
                 let again = Outgoing {
@@ -131,7 +131,7 @@
                 self.schedule(again, now_ms + grace_ms + STOP_CHECK_MS);
                 Meaning::Nothing
             }
-            (_, WorkerAnswer::State(state)) => Meaning::News(event_of(state)),
+            (_, WorkerAnswer::State(state)) => Meaning::Event(event_of(state)),
             _ => Meaning::Nothing,
         }
     }
--- a/src/owner/state.rs
+++ b/src/owner/state.rs
@@ -99,7 +99,7 @@
     pub(super) gated: VecDeque<(u64, Effect)>,
     pub(super) outbox: Outbox,
     pub(super) waiters: HashMap<JobId, Vec<u64>>,
-    /// Incarnation of each worker that a keeper has reported.
+    /// Incarnation of each worker that a worker monitor has reported.
     pub(super) incarnations: HashMap<String, u64>,
     pub(super) next_core_tick_ms: u64,
     /// Since when a commit is under way.
@@ -114,7 +114,7 @@
     pub(super) now_ms: u64,
     pub(super) phase: Phase,
     pub(super) lease: Lease,
-    pub(super) contest: bool,
+    pub(super) is_candidate: bool,
     pub(super) draining: bool,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) configuration_confirmed_ms: Option<u64>,
@@ -142,7 +142,7 @@
             settings,
             now_ms: 0,
             phase: Phase::Idle,
-            contest: false,
+            is_candidate: false,
             draining: false,
             configuration: None,
             configuration_confirmed_ms: None,
@@ -193,14 +193,14 @@
             Event::Request { token, request } => self.request(token, request),
             Event::Store { call, result } => self.store_answered(call, result),
             Event::Worker { call, result } => self.worker_answered(call, result),
-            Event::News { worker, news } => self.worker_news(&worker, news),
+            Event::WorkerUpdate { worker, update } => self.handle_worker_update(&worker, update),
             Event::Configuration(configuration) => self.configured(configuration),
             Event::ConfigurationConfirmed { asked_ms } => {
                 let confirmed = self.configuration_confirmed_ms.unwrap_or(0);
                 self.configuration_confirmed_ms = Some(confirmed.max(asked_ms));
             }
             Event::Members(members) => self.members_listed(members),
-            Event::Contest(contest) => self.contest = contest,
+            Event::Candidacy(is_candidate) => self.is_candidate = is_candidate,
             Event::Drain => self.draining = true,
         }
         self.advance();
--- a/src/owner/store_events.rs
+++ b/src/owner/store_events.rs
@@ -40,7 +40,7 @@
 impl Owner {
     pub(super) fn keep_lease(&mut self) {
         let wanted = match self.phase {
-            Phase::Idle => self.contest && !self.draining,
+            Phase::Idle => self.is_candidate && !self.draining,
             _ => true,
         };
         if wanted && self.lease.step(self.now_ms) == LeaseStep::Ask {
@@ -112,7 +112,7 @@
             JournalEvent::Damaged(error) => {
                 events::log(events::LEDGER_DAMAGED, format_args!("{error}"));
                 self.step_down();
-                self.contest = false;
+                self.is_candidate = false;
             }
         }
     }
@@ -138,7 +138,7 @@
         match result {
             Ok(StoreAnswer::Granted) => {
                 self.lease.granted();
-                if matches!(self.phase, Phase::Idle) && self.contest && !self.draining {
+                if matches!(self.phase, Phase::Idle) && self.is_candidate && !self.draining {
                     self.begin_opening();
                 }
             }
@@ -187,7 +187,7 @@
         }
         let epoch = journal.epoch();
         let jobs: Vec<RecoveredJob> = journal
-            .book()
+            .job_pages()
             .jobs()
             .map(|record| RecoveredJob {
                 record: record.clone(),
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -4,7 +4,7 @@
     Action,
     CallId,
     Owner,
-    WorkerNews,
+    WorkerUpdate,
     outbox,
     outbox::Meaning,
     state::Phase, //
@@ -102,9 +102,9 @@
             .collect()
     }
 
-    pub(super) fn worker_news(&mut self, worker: &str, news: WorkerNews) {
-        match news {
-            WorkerNews::Changes(changes) => {
+    pub(super) fn handle_worker_update(&mut self, worker: &str, update: WorkerUpdate) {
+        match update {
+            WorkerUpdate::Changes(changes) => {
                 for change in changes {
                     let report = MemberReport {
                         attempt: change.attempt,
@@ -114,14 +114,14 @@
                     self.apply(Command::Member(report));
                 }
             }
-            WorkerNews::Silent { silent_ms } => {
+            WorkerUpdate::Silent { silent_ms } => {
                 let over_ms = self.settings.worker_lease_ms + self.settings.worker_margin_ms;
                 if silent_ms >= over_ms && self.health_of(worker) != Some(WorkerHealth::Lost) {
                     events::log(events::WORKER_LOST, format_args!("{worker}"));
                     self.apply(Command::WorkerLost(worker.to_owned()));
                 }
             }
-            WorkerNews::Seen {
+            WorkerUpdate::Seen {
                 incarnation,
                 leaving,
             } => self.worker_seen(worker, incarnation, leaving),
@@ -187,7 +187,7 @@
                 }
             }
         };
-        if let (Meaning::News(event), Some(attempt)) = (meaning, attempt) {
+        if let (Meaning::Event(event), Some(attempt)) = (meaning, attempt) {
             self.apply(Command::Member(MemberReport {
                 attempt,
                 worker,
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -89,11 +89,11 @@
                 false => CallFailure::NoAnswer,
             })
         };
-        let begun = self.timer.limit(limit_ms, sent).await;
+        let begun = self.timer.timeout(limit_ms, sent).await;
         let mut response = begun.unwrap_or(Err(CallFailure::NoAnswer))?;
         let status = response.status();
         let mut body = BytesMut::new();
-        while let Ok(chunk) = self.timer.limit(STALL_LIMIT_MS, response.next()).await {
+        while let Ok(chunk) = self.timer.timeout(STALL_LIMIT_MS, response.next()).await {
             let Some(chunk) = chunk else {
                 return Ok((status, body.freeze()));
             };
--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -151,7 +151,7 @@
     }
 
     /// All jobs that were stored before `sent_ms` are known.
-    pub(super) fn jobs_read(&mut self, sent_ms: u64) {
+    pub(super) fn handle_jobs_read(&mut self, sent_ms: u64) {
         self.jobs_read_ms = self.jobs_read_ms.max(sent_ms);
         self.acknowledge_ends();
     }
--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -65,7 +65,7 @@
 
     /// What is to be stored of a worker: the runs that may be there if it is
     /// closed. `None` for a worker that is gone.
-    pub fn closed_row(&self, key: WorkerKey) -> Option<(bool, ClosedRuns)> {
+    pub fn closed_record(&self, key: WorkerKey) -> Option<(bool, ClosedRuns)> {
         let worker = self.worker(key);
         if worker.contact == Contact::Gone {
             return None;
@@ -88,7 +88,7 @@
     }
 
     /// It is stored whether a worker is closed.
-    pub(super) fn closed_stored(&mut self, worker_name: &str, closed: bool) {
+    pub(super) fn handle_closed_worker_stored(&mut self, worker_name: &str, closed: bool) {
         let Some(&key) = self.worker_index.get(worker_name) else {
             return;
         };
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -68,7 +68,7 @@
 
     /// Takes in all orders in force, as the store showed them when it was asked
     /// at `checked_ms` or later.
-    pub(super) fn take_emptying(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
+    pub(super) fn handle_emptying_orders(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
         // Waiting work is offered room again as soon as that may be done.
         let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_max_age_ms);
         self.changed |= self.emptying.view.note(checked_ms, now_ms, bound_ms);
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -174,7 +174,7 @@
         checked_ms: u64,
     },
     /// A job that is stored; told again, it changes nothing.
-    Job {
+    JobStored {
         /// Its name.
         id: JobId,
         /// What was stored.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -117,7 +117,7 @@
 
 impl Scheduler {
     /// Takes in a stored job; one that is known stays as it is.
-    pub(super) fn take_job(
+    pub(super) fn handle_job_stored(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
@@ -258,7 +258,7 @@
     }
 
     /// Everything up to `change` of a job is durable.
-    pub(super) fn stored(&mut self, id: JobId, change: u64) {
+    pub(super) fn handle_progress_stored(&mut self, id: JobId, change: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -40,7 +40,7 @@
         .collect()
     }
 
-    pub(super) fn take_worker(&mut self, info: WorkerInfo) {
+    pub(super) fn handle_worker_registered(&mut self, info: WorkerInfo) {
         let known = self.worker_index.get(&info.worker_name).copied();
         let key = known.unwrap_or_else(|| self.add_worker(info.clone()));
         let emptied = self.emptying.names(&info.data_centre);
@@ -131,7 +131,7 @@
         Some(key)
     }
 
-    pub(super) fn take_known_worker(
+    pub(super) fn handle_roster_worker(
         &mut self,
         worker_name: String,
         address: String,
@@ -151,14 +151,14 @@
         }
     }
 
-    pub(super) fn worker_unlisted(&mut self, name: &str) {
+    pub(super) fn handle_worker_unlisted(&mut self, name: &str) {
         if let Some(&key) = self.worker_index.get(name) {
             self.worker_mut(key).listed = false;
             self.changed = true;
         }
     }
 
-    pub(super) fn roster_stored(&mut self, names: &[String]) {
+    pub(super) fn handle_roster_stored(&mut self, names: &[String]) {
         for worker_name in names {
             let Some(&key) = self.worker_index.get(worker_name) else {
                 continue;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -30,9 +30,9 @@
 /// Room of cores left over breaks ties.
 const CORE_COST: f64 = 0.00001;
 
-/// A worker with the room that this pass has left.
+/// A worker on which tasks may be placed, with the room that this pass has left.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct CandidateWorker {
     /// The worker.
     pub worker: WorkerKey,
     /// The room left.
@@ -55,8 +55,8 @@
     pub kept_from_ms: u64,
 }
 
-/// Like tasks that look for a place.
-pub struct Ask<'a> {
+/// A request to place a number of like tasks.
+pub struct PlacementRequest<'a> {
     /// What each takes.
     pub room: Resources,
     /// How many.
@@ -87,29 +87,29 @@
     pub allowed: &'a dyn Fn(WorkerKey) -> u32,
 }
 
-/// So many tasks on the seat at this place of the list.
+/// How many tasks go to one candidate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Placing {
-    /// Place in the list of seats.
-    pub seat: usize,
+pub struct Placement {
+    /// Index in the list of candidates.
+    pub candidate: usize,
     /// Tasks.
     pub count: u32,
 }
 
-impl Ask<'_> {
-    /// How many tasks a seat takes: room that is kept for others only if they
+impl PlacementRequest<'_> {
+    /// How many tasks a candidate takes: room that is kept for others only if they
     /// end before it is used.
-    pub fn fit(&self, seat: &Seat) -> u32 {
-        let free = match seat.kept_from_ms {
-            0 => seat.free,
-            from_ms if self.end_ms <= from_ms => seat.free,
-            _ => seat.free.minus(&seat.kept),
+    pub fn fit(&self, candidate: &CandidateWorker) -> u32 {
+        let free = match candidate.kept_from_ms {
+            0 => candidate.free,
+            from_ms if self.end_ms <= from_ms => candidate.free,
+            _ => candidate.free.minus(&candidate.kept),
         };
         let fit = free.times(&self.room).min(self.count);
         if fit == 0 {
             return 0;
         }
-        fit.min((self.allowed)(seat.worker))
+        fit.min((self.allowed)(candidate.worker))
     }
 
     fn slowness_cost(&self, slowness: f64) -> f64 {
@@ -118,21 +118,21 @@
         sign * SLOWNESS_COST * (slowness - 1.0)
     }
 
-    fn cost(&self, seat: &Seat) -> f64 {
-        let left = seat.free.minus(&self.room);
+    fn cost(&self, candidate: &CandidateWorker) -> f64 {
+        let left = candidate.free.minus(&self.room);
         let mut cost = f64::from(left.accelerators) + f64::from(left.cpu_millis) * CORE_COST;
-        cost += RACK_COST * f64::from(seat.rack_free);
-        cost += self.slowness_cost(seat.slowness);
-        if (self.unsteady)(seat.worker) {
+        cost += RACK_COST * f64::from(candidate.rack_free);
+        cost += self.slowness_cost(candidate.slowness);
+        if (self.unsteady)(candidate.worker) {
             cost += UNSTEADY_COST;
         }
         if self.on_trial {
-            cost += LOST_RUN_COST * f64::from(seat.runs);
+            cost += LOST_RUN_COST * f64::from(candidate.runs);
         }
-        if self.avoid.contains(&seat.worker) {
+        if self.avoid.contains(&candidate.worker) {
             cost += AVOIDED_COST;
         }
-        if (self.fills && seat.serves) || (self.serves && seat.fills) {
+        if (self.fills && candidate.serves) || (self.serves && candidate.fills) {
             cost += CONFLICT_COST;
         }
         cost
@@ -140,93 +140,104 @@
 }
 
 /// Places tasks; a gang whole or not at all, others as far as there is room.
-pub fn place(seats: &[Seat], ask: &Ask<'_>) -> Vec<Placing> {
-    let all: Vec<usize> = (0..seats.len()).collect();
-    if !ask.data_rack.is_empty() {
-        let near: Vec<usize> = on_rack(seats, &all, ask.data_rack);
-        let placings = fill(seats, &near, ask, ask.count);
-        let placed = total(&placings);
-        if placed == ask.count || (!ask.may_leave_rack && !ask.gang) {
-            return placings;
+pub fn place(candidates: &[CandidateWorker], request: &PlacementRequest<'_>) -> Vec<Placement> {
+    let all: Vec<usize> = (0..candidates.len()).collect();
+    if !request.data_rack.is_empty() {
+        let near: Vec<usize> = on_rack(candidates, &all, request.data_rack);
+        let placements = fill(candidates, &near, request, request.count);
+        let placed = total(&placements);
+        if placed == request.count || (!request.may_leave_rack && !request.gang) {
+            return placements;
         }
-        if !ask.may_leave_rack {
+        if !request.may_leave_rack {
             return Vec::new();
         }
-        if !ask.gang {
+        if !request.gang {
             let far: Vec<usize> = all.into_iter().filter(|at| !near.contains(at)).collect();
-            let mut placings = placings;
-            placings.extend(fill(seats, &far, ask, ask.count - placed));
-            return placings;
+            let mut placements = placements;
+            placements.extend(fill(candidates, &far, request, request.count - placed));
+            return placements;
         }
     }
-    if ask.one_rack && ask.count > 1 {
-        if let Some(placings) = place_on_one_rack(seats, ask) {
-            return placings;
+    if request.one_rack && request.count > 1 {
+        if let Some(placements) = place_on_one_rack(candidates, request) {
+            return placements;
         }
-        if !ask.may_leave_rack {
+        if !request.may_leave_rack {
             return Vec::new();
         }
     }
-    let placings = fill(seats, &all, ask, ask.count);
-    if ask.gang && total(&placings) < ask.count {
+    let placements = fill(candidates, &all, request, request.count);
+    if request.gang && total(&placements) < request.count {
         return Vec::new();
     }
-    placings
+    placements
 }
 
-fn total(placings: &[Placing]) -> u32 {
-    placings.iter().map(|placing| placing.count).sum()
+fn total(placements: &[Placement]) -> u32 {
+    placements.iter().map(|placement| placement.count).sum()
 }
 
-fn on_rack(seats: &[Seat], all: &[usize], rack: &str) -> Vec<usize> {
-    let there = |at: &usize| &*seats[*at].rack == rack;
+fn on_rack(candidates: &[CandidateWorker], all: &[usize], rack: &str) -> Vec<usize> {
+    let there = |at: &usize| &*candidates[*at].rack == rack;
     all.iter().copied().filter(there).collect()
 }
 
 /// The rack that keeps the fewest accelerators free beside the gang.
-fn place_on_one_rack(seats: &[Seat], ask: &Ask<'_>) -> Option<Vec<Placing>> {
+fn place_on_one_rack(
+    candidates: &[CandidateWorker],
+    request: &PlacementRequest<'_>,
+) -> Option<Vec<Placement>> {
     let mut racks: BTreeMap<&Arc<str>, Vec<usize>> = BTreeMap::new();
-    for (at, seat) in seats.iter().enumerate() {
-        racks.entry(&seat.rack).or_default().push(at);
+    for (at, candidate) in candidates.iter().enumerate() {
+        racks.entry(&candidate.rack).or_default().push(at);
     }
-    let mut best: Option<(f64, Vec<Placing>)> = None;
+    let mut best: Option<(f64, Vec<Placement>)> = None;
     for there in racks.into_values() {
-        let placings = fill(seats, &there, ask, ask.count);
-        if total(&placings) < ask.count {
+        let placements = fill(candidates, &there, request, request.count);
+        if total(&placements) < request.count {
             continue;
         }
-        let free: u32 = there.iter().map(|&at| seats[at].free.accelerators).sum();
-        let slowest = placings
+        let free: u32 = there
             .iter()
-            .map(|placing| seats[placing.seat].slowness)
+            .map(|&at| candidates[at].free.accelerators)
+            .sum();
+        let slowest = placements
+            .iter()
+            .map(|placement| candidates[placement.candidate].slowness)
             .fold(0.0, f64::max);
-        let cost = f64::from(free) + ask.slowness_cost(slowest);
+        let cost = f64::from(free) + request.slowness_cost(slowest);
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-            best = Some((cost, placings));
+            best = Some((cost, placements));
         }
     }
-    best.map(|(_, placings)| placings)
+    best.map(|(_, placements)| placements)
 }
 
-/// Takes the cheapest seats first, each as far as it goes.
-fn fill(seats: &[Seat], among: &[usize], ask: &Ask<'_>, count: u32) -> Vec<Placing> {
+/// Takes the cheapest candidates first, each as far as it goes.
+fn fill(
+    candidates: &[CandidateWorker],
+    among: &[usize],
+    request: &PlacementRequest<'_>,
+    count: u32,
+) -> Vec<Placement> {
     let mut costs: Vec<(f64, usize, u32)> = among
         .iter()
         .filter_map(|&at| {
-            let fit = ask.fit(&seats[at]);
-            (fit > 0).then(|| (ask.cost(&seats[at]), at, fit))
+            let fit = request.fit(&candidates[at]);
+            (fit > 0).then(|| (request.cost(&candidates[at]), at, fit))
         })
         .collect();
     costs.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let mut left = count;
-    let mut placings = Vec::new();
-    for (_, seat, fit) in costs {
+    let mut placements = Vec::new();
+    for (_, candidate, fit) in costs {
         if left == 0 {
             break;
         }
         let count = fit.min(left);
         left -= count;
-        placings.push(Placing { seat, count });
+        placements.push(Placement { candidate, count });
     }
-    placings
+    placements
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -18,8 +18,8 @@
     Tier, //
 };
 use super::placement::{
-    Ask,
-    Seat, //
+    CandidateWorker, //
+    PlacementRequest,
 };
 use super::state::Scheduler;
 use super::{
@@ -57,7 +57,7 @@
     }
 }
 
-/// What it takes to place one more task on a seat.
+/// What it takes to place one more task on a candidate.
 #[derive(Clone, Debug, Default)]
 struct Slot {
     loss: f64,
@@ -67,14 +67,14 @@
 /// A slot that was chosen.
 #[derive(Clone, Debug)]
 struct Choice {
-    seat: usize,
+    candidate: usize,
     worker: WorkerKey,
     slot: Slot,
 }
 
-/// The room of a seat as more and more of its runs are taken away.
+/// The room of a candidate as more and more of its runs are taken away.
 struct Yielding {
-    seat: usize,
+    candidate: usize,
     worker: WorkerKey,
     free: Resources,
     room: Resources,
@@ -145,21 +145,26 @@
         &mut self,
         ranked: Ranked,
         queue: &QueueTerms,
-        seats: &mut [Seat],
+        candidates: &mut [CandidateWorker],
     ) -> bool {
         if self.now_ms < self.groups[&ranked.key].preempt_at_ms {
-            self.keep_claims(ranked.key, seats);
+            self.keep_claims(ranked.key, candidates);
             return true;
         }
-        let Some(chosen) = self.worth_taking(ranked, queue, seats) else {
+        let Some(chosen) = self.worth_taking(ranked, queue, candidates) else {
             return false;
         };
         let room = self.groups[&ranked.key].room;
         let settle_ms = self.now_ms + self.tuning.settle_ms();
         let mut stops = Vec::new();
         let mut claims: BTreeMap<WorkerKey, u32> = BTreeMap::new();
-        for Choice { seat, worker, slot } in chosen {
-            seats[seat].free = seats[seat].free.minus(&room);
+        for Choice {
+            candidate,
+            worker,
+            slot,
+        } in chosen
+        {
+            candidates[candidate].free = candidates[candidate].free.minus(&room);
             *claims.entry(worker).or_default() += 1;
             stops.extend(slot.victims.iter().map(|victim| (worker, victim.name)));
         }
@@ -193,15 +198,15 @@
         &self,
         ranked: Ranked,
         queue: &QueueTerms,
-        seats: &[Seat],
+        candidates: &[CandidateWorker],
     ) -> Option<Vec<Choice>> {
         let group = &self.groups[&ranked.key];
         let count = group.waiting as usize;
-        let chosen = self.with_ask(group, queue, &[], |ask| {
-            self.cheapest(ranked, ask, seats, count)
+        let chosen = self.with_request(group, queue, &[], |request| {
+            self.cheapest(ranked, request, candidates, count)
         })?;
-        let slots = chosen.iter().map(|choice| choice.seat);
-        let slowest = slots.map(|at| seats[at].slowness).fold(0.0, f64::max);
+        let slots = chosen.iter().map(|choice| choice.candidate);
+        let slowest = slots.map(|at| candidates[at].slowness).fold(0.0, f64::max);
         let run_ms = (group.run_time.value() * slowest) as u64;
         let end_ms = self.now_ms + self.tuning.stop_ms + run_ms;
         let part = group.terms().part_at(end_ms) - LATE_PART;
@@ -211,12 +216,15 @@
 
     /// Keeps what is being freed for a group from the groups after it: its
     /// victims would take the freed room back, and be stopped again.
-    fn keep_claims(&self, key: GroupKey, seats: &mut [Seat]) {
+    fn keep_claims(&self, key: GroupKey, candidates: &mut [CandidateWorker]) {
         let group = &self.groups[&key];
         for &(worker, count) in &group.claims {
-            for seat in seats.iter_mut().filter(|seat| seat.worker == worker) {
+            for candidate in candidates
+                .iter_mut()
+                .filter(|candidate| candidate.worker == worker)
+            {
                 for _ in 0..count {
-                    seat.free = seat.free.minus(&group.room);
+                    candidate.free = candidate.free.minus(&group.room);
                 }
             }
         }
@@ -227,42 +235,46 @@
     fn cheapest(
         &self,
         ranked: Ranked,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         count: usize,
     ) -> Option<Vec<Choice>> {
-        let all: Vec<usize> = (0..seats.len()).collect();
+        let all: Vec<usize> = (0..candidates.len()).collect();
         let mut regions: Vec<Vec<usize>> = Vec::new();
-        if ask.one_rack || !ask.data_rack.is_empty() {
-            let mut racks: Vec<&str> = seats.iter().map(|seat| &*seat.rack).collect();
+        if request.one_rack || !request.data_rack.is_empty() {
+            let mut racks: Vec<&str> = candidates
+                .iter()
+                .map(|candidate| &*candidate.rack)
+                .collect();
             racks.sort_unstable();
             racks.dedup();
-            racks.retain(|rack| ask.data_rack.is_empty() || *rack == ask.data_rack);
+            racks.retain(|rack| request.data_rack.is_empty() || *rack == request.data_rack);
             for rack in racks {
-                let there = |at: &usize| &*seats[*at].rack == rack;
+                let there = |at: &usize| &*candidates[*at].rack == rack;
                 regions.push(all.iter().copied().filter(there).collect());
             }
         }
         let on_racks = regions
             .iter()
-            .filter_map(|region| self.slots(ranked, ask, seats, region, count))
+            .filter_map(|region| self.slots(ranked, request, candidates, region, count))
             .min_by(|a, b| loss_of(a).total_cmp(&loss_of(b)));
         // Room elsewhere is of use only to work that may leave its rack.
-        let anywhere = regions.is_empty() || ask.may_leave_rack;
-        on_racks.or_else(|| anywhere.then(|| self.slots(ranked, ask, seats, &all, count))?)
+        let anywhere = regions.is_empty() || request.may_leave_rack;
+        on_racks
+            .or_else(|| anywhere.then(|| self.slots(ranked, request, candidates, &all, count))?)
     }
 
     fn slots(
         &self,
         ranked: Ranked,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         region: &[usize],
         count: usize,
     ) -> Option<Vec<Choice>> {
         let mut yielding: Vec<Yielding> = region
             .iter()
-            .map(|&at| self.yielding(ranked, ask, seats, at))
+            .map(|&at| self.yielding(ranked, request, candidates, at))
             .collect();
         let mut next: Vec<Option<Slot>> = yielding.iter().map(Yielding::next).collect();
         let mut chosen = Vec::with_capacity(count);
@@ -286,7 +298,7 @@
             }
             next[at] = yielding[at].next();
             chosen.push(Choice {
-                seat: yielding[at].seat,
+                candidate: yielding[at].candidate,
                 worker: yielding[at].worker,
                 slot,
             });
@@ -294,9 +306,15 @@
         Some(chosen)
     }
 
-    fn yielding(&self, ranked: Ranked, ask: &Ask<'_>, seats: &[Seat], at: usize) -> Yielding {
-        let seat = &seats[at];
-        let worker = self.worker(seat.worker);
+    fn yielding(
+        &self,
+        ranked: Ranked,
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
+        at: usize,
+    ) -> Yielding {
+        let candidate = &candidates[at];
+        let worker = self.worker(candidate.worker);
         let soon_ms = self.now_ms + self.tuning.stop_ms;
         // What ends by itself before a stop would have ended it is waited for, but
         // once only: a run that takes longer than it should seems to end at once
@@ -305,10 +323,10 @@
         let waited = self.now_ms > released_ms + self.tuning.settle_ms();
         let ends_soon = |run: &Run| {
             let ending = matches!(run.phase, RunPhase::Stopping | RunPhase::Ending);
-            let end_ms = self.expected_end_ms(seat.worker, run);
+            let end_ms = self.expected_end_ms(candidate.worker, run);
             ending || (!waited && end_ms.is_some_and(|end_ms| end_ms <= soon_ms))
         };
-        let mut free = seat.free;
+        let mut free = candidate.free;
         let mut victims: Vec<Victim> = Vec::new();
         for (&name, run) in &worker.runs {
             if ends_soon(run) {
@@ -318,11 +336,11 @@
             }
         }
         let mut yielding = Yielding {
-            seat: at,
-            worker: seat.worker,
+            candidate: at,
+            worker: candidate.worker,
             free,
-            room: ask.room,
-            left: (ask.allowed)(seat.worker).min(ask.count),
+            room: request.room,
+            left: (request.allowed)(candidate.worker).min(request.count),
             victims,
         };
         yielding.sort();
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -8,8 +8,8 @@
 //! none whose room lies too far ahead for the estimates to mean anything.
 
 use super::placement::{
-    Ask,
-    Seat, //
+    CandidateWorker, //
+    PlacementRequest,
 };
 use super::state::Scheduler;
 use super::{
@@ -31,7 +31,7 @@
 /// Room that is free later than this is not kept: about two run times.
 const HORIZON_MS: u64 = 15_000;
 
-/// When the runs on each seat end and what they leave, the soonest first, as far as a
+/// When the runs on each candidate end and what they leave, the soonest first, as far as a
 /// pass has looked. Each gang that waits asks the same of the whole fleet.
 #[derive(Debug, Default)]
 pub(super) struct ExpectedEnds {
@@ -47,11 +47,11 @@
     }
 }
 
-/// When a seat has room for one more task.
+/// When a candidate has room for one more task.
 #[derive(Clone, Copy, Debug)]
 struct FreeSlot {
     at_ms: u64,
-    seat: usize,
+    candidate: usize,
 }
 
 impl Scheduler {
@@ -60,13 +60,13 @@
         &self,
         key: GroupKey,
         queue: &QueueTerms,
-        seats: &mut [Seat],
+        candidates: &mut [CandidateWorker],
         ends: &mut ExpectedEnds,
     ) -> bool {
         let group = &self.groups[&key];
         let count = group.waiting as usize;
-        let chosen = self.with_ask(group, queue, &[], |ask| {
-            self.soonest(ask, seats, count, ends)
+        let chosen = self.with_request(group, queue, &[], |request| {
+            self.soonest(request, candidates, count, ends)
         });
         let Some(chosen) = chosen else {
             return false;
@@ -76,9 +76,9 @@
             return false;
         }
         for slot in chosen {
-            let seat = &mut seats[slot.seat];
-            seat.kept = seat.kept.plus(&group.room);
-            seat.kept_from_ms = match seat.kept_from_ms {
+            let candidate = &mut candidates[slot.candidate];
+            candidate.kept = candidate.kept.plus(&group.room);
+            candidate.kept_from_ms = match candidate.kept_from_ms {
                 0 => from_ms,
                 before => before.min(from_ms),
             };
@@ -89,24 +89,24 @@
     /// The slots that become free soonest; on one rack where that is asked for.
     fn soonest(
         &self,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         count: usize,
         ends: &mut ExpectedEnds,
     ) -> Option<Vec<FreeSlot>> {
         let mut slots: Vec<FreeSlot> = Vec::new();
-        for at in 0..seats.len() {
-            self.slots_of(ask, seats, at, ends, &mut slots);
+        for at in 0..candidates.len() {
+            self.slots_of(request, candidates, at, ends, &mut slots);
         }
-        slots.sort_by_key(|slot| (slot.at_ms, slot.seat));
-        if !ask.one_rack && ask.data_rack.is_empty() {
+        slots.sort_by_key(|slot| (slot.at_ms, slot.candidate));
+        if !request.one_rack && request.data_rack.is_empty() {
             return (slots.len() >= count).then(|| slots[..count].to_vec());
         }
         let mut by_rack: BTreeMap<&str, Vec<FreeSlot>> = BTreeMap::new();
         for slot in slots {
-            let rack = &*seats[slot.seat].rack;
+            let rack = &*candidates[slot.candidate].rack;
             let first = by_rack.entry(rack).or_default();
-            let wanted = ask.data_rack.is_empty() || rack == ask.data_rack;
+            let wanted = request.data_rack.is_empty() || rack == request.data_rack;
             if wanted && first.len() < count {
                 first.push(slot);
             }
@@ -117,32 +117,35 @@
 
     fn slots_of(
         &self,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         at: usize,
         ends: &mut ExpectedEnds,
         slots: &mut Vec<FreeSlot>,
     ) {
-        let seat = &seats[at];
-        let most = (ask.allowed)(seat.worker).min(ask.count);
+        let candidate = &candidates[at];
+        let most = (request.allowed)(candidate.worker).min(request.count);
         if most == 0 {
             return;
         }
         let by_gang = &mut ends.by_gang;
         let by_seat = ends.by_seat.entry(at);
-        let ends = by_seat.or_insert_with(|| self.ends_on(seat.worker, by_gang));
-        let mut free = seat.free.minus(&seat.kept);
+        let ends = by_seat.or_insert_with(|| self.ends_on(candidate.worker, by_gang));
+        let mut free = candidate.free.minus(&candidate.kept);
         let (mut at_ms, mut ends) = (self.now_ms, ends.iter());
         for _ in 0..most {
-            while !free.holds(&ask.room) {
+            while !free.holds(&request.room) {
                 let Some((end_ms, room)) = ends.next() else {
                     return;
                 };
                 at_ms = at_ms.max(*end_ms);
                 free = free.plus(room);
             }
-            free = free.minus(&ask.room);
-            slots.push(FreeSlot { at_ms, seat: at });
+            free = free.minus(&request.room);
+            slots.push(FreeSlot {
+                at_ms,
+                candidate: at,
+            });
         }
     }
 
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -7,9 +7,9 @@
     Tier, //
 };
 use super::placement::{
-    Ask,
-    Placing,
-    Seat,
+    CandidateWorker,
+    Placement,
+    PlacementRequest,
     place, //
 };
 use super::reservation::{
@@ -73,7 +73,7 @@
             return;
         }
         self.note_entries_unread();
-        let mut seats = self.seats();
+        let mut candidates = self.candidates();
         let mut misses = Misses::default();
         let mut kept = KeptRoom::default();
         let mut patient_room = self.room_for_patient();
@@ -89,7 +89,7 @@
                 true => patient_room.tasks(room, self.patience(ranked.key)),
                 false => u32::MAX,
             };
-            let started = self.offer(ranked, limit, &mut seats, &mut misses, &mut kept);
+            let started = self.offer(ranked, limit, &mut candidates, &mut misses, &mut kept);
             if patient {
                 patient_room.take(started as u32 * room);
                 patient_room.leave(self.waiting_gang(ranked.key) * room);
@@ -110,7 +110,7 @@
     }
 
     /// Workers that take work, with their room.
-    fn seats(&self) -> Vec<Seat> {
+    fn candidates(&self) -> Vec<CandidateWorker> {
         let now_ms = self.now_ms;
         let takes = || {
             self.workers
@@ -122,7 +122,7 @@
             *rack_free.entry(worker.rack()).or_default() += worker.free().accelerators;
         }
         takes()
-            .map(|worker| Seat {
+            .map(|worker| CandidateWorker {
                 worker: worker.key,
                 free: worker.free(),
                 rack: worker.rack().clone(),
@@ -141,7 +141,7 @@
         &mut self,
         ranked: Ranked,
         limit: u32,
-        seats: &mut [Seat],
+        candidates: &mut [CandidateWorker],
         misses: &mut Misses,
         kept: &mut KeptRoom,
     ) -> usize {
@@ -163,23 +163,23 @@
         if plain && queue.advice.is_none() && misses.covers(&group.room) {
             return 0;
         }
-        if !self.has_advice(key, &queue, seats) {
+        if !self.has_advice(key, &queue, candidates) {
             return 0;
         }
         let group = &self.groups[&key];
         let avoid: Vec<WorkerKey> = group.tasks.iter().filter_map(|task| task.avoid).collect();
         let limited = limit < group.waiting;
         let held_back = limit == 0 || (group.step.gang && limited);
-        let placings = match held_back {
+        let placements = match held_back {
             true => Vec::new(),
-            false => self.with_ask(group, &queue, &avoid, |ask| {
-                let count = ask.count.min(limit);
-                place(seats, &Ask { count, ..*ask })
+            false => self.with_request(group, &queue, &avoid, |request| {
+                let count = request.count.min(limit);
+                place(candidates, &PlacementRequest { count, ..*request })
             }),
         };
-        let placed: u32 = placings.iter().map(|placing| placing.count).sum();
+        let placed: u32 = placements.iter().map(|placement| placement.count).sum();
         let complete = placed == group.waiting;
-        let started = self.start_placings(key, &placings, seats);
+        let started = self.start_placements(key, &placements, candidates);
         if started > 0 {
             kept.ends.forget();
         }
@@ -187,13 +187,13 @@
             if plain && !limited {
                 misses.needs.push(self.groups[&key].room);
             }
-            if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, seats) {
+            if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, candidates) {
                 kept.ends.forget();
                 return started;
             }
             if self.groups[&key].step.gang
                 && kept.gangs < KEPT_GANGS
-                && self.keep_room_for(key, &queue, seats, &mut kept.ends)
+                && self.keep_room_for(key, &queue, candidates, &mut kept.ends)
             {
                 kept.gangs += 1;
             }
@@ -202,12 +202,12 @@
     }
 
     /// Calls `then` with what the waiting tasks of a group ask for.
-    pub(super) fn with_ask<T>(
+    pub(super) fn with_request<T>(
         &self,
         group: &Group,
         queue: &QueueTerms,
         avoid: &[WorkerKey],
-        then: impl FnOnce(&Ask<'_>) -> T,
+        then: impl FnOnce(&PlacementRequest<'_>) -> T,
     ) -> T {
         let step = &group.step;
         let mut there: HashMap<WorkerKey, u32> = HashMap::new();
@@ -248,7 +248,7 @@
                 most => most.saturating_sub(there.get(&key).copied().unwrap_or(0)),
             }
         };
-        then(&Ask {
+        then(&PlacementRequest {
             room: group.room,
             count: group.waiting,
             end_ms: self.now_ms + group.run_ms(),
@@ -288,7 +288,12 @@
         waited_ms >= LEAVE_RACK_MS && (late_anyway || on_time_even_so)
     }
 
-    fn start_placings(&mut self, key: GroupKey, placings: &[Placing], seats: &mut [Seat]) -> usize {
+    fn start_placements(
+        &mut self,
+        key: GroupKey,
+        placements: &[Placement],
+        candidates: &mut [CandidateWorker],
+    ) -> usize {
         let group = &self.groups[&key];
         let mut waiting = (0u32..)
             .zip(&group.tasks)
@@ -301,25 +306,25 @@
         let gang_run = gang.then(|| self.next_run(key, None));
         let on_trial = self.is_on_trial(key);
         let mut started = 0;
-        for placing in placings {
-            let seat = &mut seats[placing.seat];
-            for _ in 0..placing.count {
+        for placement in placements {
+            let candidate = &mut candidates[placement.candidate];
+            for _ in 0..placement.count {
                 let Some(index) = waiting.next() else {
                     return started;
                 };
-                seat.free = seat.free.minus(&room);
-                seat.fills |= fills;
-                seat.serves |= serves;
+                candidate.free = candidate.free.minus(&room);
+                candidate.fills |= fills;
+                candidate.serves |= serves;
                 let run = gang_run.unwrap_or_else(|| self.next_run(key, Some(index)));
                 if gang && let Some(group) = self.groups.get_mut(&key) {
                     group.gang_run = Some(run);
                     group.gang_ending = false;
                 }
-                self.start_run(seat.worker, key, index, run);
+                self.start_run(candidate.worker, key, index, run);
                 started += 1;
             }
-            if on_trial && self.keep_for_trial(seat.worker) {
-                seat.free = Resources::default();
+            if on_trial && self.keep_for_trial(candidate.worker) {
+                candidate.free = Resources::default();
             }
         }
         started
@@ -331,33 +336,38 @@
     }
 
     /// Whether a policy outside has to be asked first; if so, it is asked.
-    fn has_advice(&mut self, key: GroupKey, queue: &QueueTerms, seats: &[Seat]) -> bool {
+    fn has_advice(
+        &mut self,
+        key: GroupKey,
+        queue: &QueueTerms,
+        candidates: &[CandidateWorker],
+    ) -> bool {
         if queue.advice.is_none() {
             return true;
         }
         let group = &self.groups[&key];
-        let useful = |seat: &&Seat| {
-            let worker = self.worker(seat.worker);
+        let useful = |candidate: &&CandidateWorker| {
+            let worker = self.worker(candidate.worker);
             worker.info.service == queue.service
                 && worker.has_label(&group.step.required_label)
-                && seat.free.holds(&group.room)
+                && candidate.free.holds(&group.room)
         };
-        let ticketed = seats
+        let ticketed = candidates
             .iter()
             .filter(useful)
-            .filter(|seat| self.has_ticket(group, seat.worker))
-            .map(|seat| seat.free.times(&group.room))
+            .filter(|candidate| self.has_ticket(group, candidate.worker))
+            .map(|candidate| candidate.free.times(&group.room))
             .fold(0u32, u32::saturating_add);
         if ticketed >= group.waiting {
             return true;
         }
-        let workers: Vec<_> = seats
+        let workers: Vec<_> = candidates
             .iter()
             .filter(useful)
-            .filter(|seat| !group.advice.declined.contains(&seat.worker))
-            .filter(|seat| !self.has_ticket(group, seat.worker))
+            .filter(|candidate| !group.advice.declined.contains(&candidate.worker))
+            .filter(|candidate| !self.has_ticket(group, candidate.worker))
             .take(MAX_ADVISED_WORKERS)
-            .map(|seat| (seat.worker, self.worker(seat.worker).name()))
+            .map(|candidate| (candidate.worker, self.worker(candidate.worker).name()))
             .collect();
         let now_ms = self.now_ms;
         if let Some(group) = self.groups.get_mut(&key) {
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -197,9 +197,9 @@
         match input {
             Input::Configure(configuration) => self.configure(configuration),
             Input::EmptyingOrdersRead { orders, checked_ms } => {
-                self.take_emptying(orders, checked_ms)
+                self.handle_emptying_orders(orders, checked_ms)
             }
-            Input::Job {
+            Input::JobStored {
                 id,
                 record,
                 progress,
@@ -208,32 +208,32 @@
                 if self.is_unreadable(id) {
                     return;
                 }
-                self.take_job(id, record, progress);
+                self.handle_job_stored(id, record, progress);
                 if self.cancelled_early.remove(&id) {
                     self.cancel_job(id);
                 }
             }
             Input::JobCancelled(id) => self.cancel_job(id),
-            Input::JobsRead { sent_ms } => self.jobs_read(sent_ms),
-            Input::WorkerRegistered(info) => self.take_worker(info),
+            Input::JobsRead { sent_ms } => self.handle_jobs_read(sent_ms),
+            Input::WorkerRegistered(info) => self.handle_worker_registered(info),
             Input::RosterWorker {
                 worker_name,
                 address,
                 closed_with,
-            } => self.take_known_worker(worker_name, address, closed_with),
-            Input::WorkerUnlisted(name) => self.worker_unlisted(&name),
-            Input::EntriesRead { sent_ms } => self.entries_read(sent_ms),
+            } => self.handle_roster_worker(worker_name, address, closed_with),
+            Input::WorkerUnlisted(name) => self.handle_worker_unlisted(&name),
+            Input::EntriesRead { sent_ms } => self.handle_entries_read(sent_ms),
             Input::WorkerEntryUnusable {
                 worker_name,
                 reason,
-            } => self.worker_unusable(&worker_name, reason),
-            Input::JobUnreadable(id) => self.job_unreadable(id),
+            } => self.handle_entry_unusable(&worker_name, reason),
+            Input::JobUnreadable(id) => self.handle_job_unreadable(id),
             Input::JobReadable {
                 id,
                 record,
                 progress,
             } => {
-                self.job_readable(id, record, progress);
+                self.handle_job_readable(id, record, progress);
                 if self.cancelled_early.remove(&id) {
                     self.cancel_job(id);
                 }
@@ -245,7 +245,7 @@
             Input::StoredStateRead { earlier_owner_over } => {
                 self.begin_recovery(earlier_owner_over)
             }
-            Input::RosterStored(workers) => self.roster_stored(&workers),
+            Input::RosterStored(workers) => self.handle_roster_stored(&workers),
             Input::PollAnswered {
                 worker,
                 sent_ms,
@@ -275,10 +275,10 @@
             Input::ClosedWorkerStored {
                 worker_name,
                 closed,
-            } => self.closed_stored(&worker_name, closed),
-            Input::ProgressStored { job, change } => self.stored(job, change),
-            Input::UpkeepWave(order) => self.take_wave(order),
-            Input::MachineList { sent_ms, machines } => self.take_machines(sent_ms, machines),
+            } => self.handle_closed_worker_stored(&worker_name, closed),
+            Input::ProgressStored { job, change } => self.handle_progress_stored(job, change),
+            Input::UpkeepWave(order) => self.handle_wave(order),
+            Input::MachineList { sent_ms, machines } => self.handle_machine_list(sent_ms, machines),
             Input::UpkeepResult {
                 wave,
                 machine,
--- a/src/scheduler/unreadable.rs
+++ b/src/scheduler/unreadable.rs
@@ -30,7 +30,7 @@
 
 impl Scheduler {
     /// A stored value of a job cannot be decoded.
-    pub(super) fn job_unreadable(&mut self, id: JobId) {
+    pub(super) fn handle_job_unreadable(&mut self, id: JobId) {
         let known = self.jobs.contains_key(&id)
             || self.deleting_jobs.contains_key(&id)
             || self.cancelled_early.contains(&id);
@@ -45,7 +45,7 @@
     }
 
     /// The values of a job read now.
-    pub(super) fn job_readable(
+    pub(super) fn handle_job_readable(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
@@ -53,7 +53,7 @@
     ) {
         let runs = self.take_unread_runs(id);
         // The ends that were heard meanwhile are taken in with the job.
-        self.take_job(id, record, progress);
+        self.handle_job_stored(id, record, progress);
         self.unreadable_jobs.remove(&id);
         for (key, row) in runs {
             self.adopt(key, &row);
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -162,7 +162,7 @@
 
 impl Scheduler {
     /// Takes in a wave; one that is known stays as it is.
-    pub(super) fn take_wave(&mut self, order: WaveOrder) {
+    pub(super) fn handle_wave(&mut self, order: WaveOrder) {
         let known = self.upkeep.waves.contains_key(&order.number)
             || self.upkeep.completed.contains(&order.number);
         if known {
@@ -189,7 +189,7 @@
 
     /// Takes in the platform's list of machines, asked for at `sent_ms`; `None`
     /// if it did not come.
-    pub(super) fn take_machines(&mut self, sent_ms: u64, machines: Option<Vec<MachineInfo>>) {
+    pub(super) fn handle_machine_list(&mut self, sent_ms: u64, machines: Option<Vec<MachineInfo>>) {
         self.upkeep.list_in_flight = false;
         let Some(machines) = machines else {
             return;
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -43,7 +43,7 @@
     }
 
     /// All entries that were there at `sent_ms` are told.
-    pub(super) fn entries_read(&mut self, sent_ms: u64) {
+    pub(super) fn handle_entries_read(&mut self, sent_ms: u64) {
         let bound_ms = self.tuning.entries_max_age_ms;
         self.changed |= self.entries_freshness.note(sent_ms, self.now_ms, bound_ms);
     }
@@ -66,7 +66,7 @@
 
     /// The entry of a worker names no worker to use; one of a worker that is not
     /// known names nothing.
-    pub(super) fn worker_unusable(&mut self, name: &str, reason: &'static str) {
+    pub(super) fn handle_entry_unusable(&mut self, name: &str, reason: &'static str) {
         let Some(&key) = self.worker_index.get(name) else {
             return;
         };
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -335,7 +335,7 @@
                 return;
             }
             // Either a write or the end of the wait ends this round.
-            let _ = self.timer.limit(until_ms - now_ms, written).await;
+            let _ = self.timer.timeout(until_ms - now_ms, written).await;
         }
     }
 
@@ -361,7 +361,7 @@
         };
         self.written.notify_waiters();
         if delay_ms > 0 {
-            self.timer.after(delay_ms).await;
+            self.timer.sleep(delay_ms).await;
         }
         match result {
             Ok(StoreAnswer::Value { version, value }) => versioned(StatusCode::OK, version, value),
@@ -430,7 +430,7 @@
             Some(Ok(answer)) => worker_response(answer),
             // A worker out of reach never answers; the caller's timeout ends it.
             Some(Err(_)) => {
-                self.timer.after(KEEP_ALIVE.as_millis() as u64).await;
+                self.timer.sleep(KEEP_ALIVE.as_millis() as u64).await;
                 status(StatusCode::GATEWAY_TIMEOUT)
             }
             None => status(StatusCode::NOT_FOUND),
@@ -478,7 +478,7 @@
             // Whatever comes first: a call, a task's end, or the poll's end.
             let _ = self
                 .timer
-                .limit(next_ms.saturating_sub(now_ms).max(1), waiting)
+                .timeout(next_ms.saturating_sub(now_ms).max(1), waiting)
                 .await;
         }
     }
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -71,13 +71,13 @@
         now_ms(self.base_ms, self.started_ms)
     }
 
-    /// Waits for `delay_ms`.
-    pub async fn after(&self, delay_ms: u64) -> u64 {
-        self.at(self.now_ms() + delay_ms).await
+    /// Waits for `delay_ms` and returns the time then.
+    pub async fn sleep(&self, delay_ms: u64) -> u64 {
+        self.sleep_until(self.now_ms() + delay_ms).await
     }
 
     /// Waits until `at_ms`.
-    pub async fn at(&self, at_ms: u64) -> u64 {
+    pub async fn sleep_until(&self, at_ms: u64) -> u64 {
         let (wake, woken) = oneshot::channel();
         let registered = self.register.send(Waiting { at_ms, wake });
         match registered {
@@ -91,16 +91,16 @@
     /// # Errors
     ///
     /// The time was up first.
-    pub async fn limit<F: Future>(&self, limit_ms: u64, future: F) -> Result<F::Output, Elapsed> {
+    pub async fn timeout<F: Future>(&self, limit_ms: u64, future: F) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            _ = self.after(limit_ms) => Err(Elapsed),
+            _ = self.sleep(limit_ms) => Err(Elapsed),
         }
     }
 
     /// Ticks every `period_ms`; a subscriber that is late skips ticks.
-    pub fn every(&self, period_ms: u64) -> Ticks {
+    pub fn interval(&self, period_ms: u64) -> Ticks {
         Ticks {
             timer: self.clone(),
             period_ms,
@@ -119,7 +119,7 @@
 impl Ticks {
     /// Waits for the next tick and returns its time.
     pub async fn next(&mut self) -> u64 {
-        let now_ms = self.timer.at(self.next_ms).await;
+        let now_ms = self.timer.sleep_until(self.next_ms).await;
         self.next_ms = (self.next_ms + self.period_ms).max(now_ms + 1);
         now_ms
     }
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -20,7 +20,7 @@
     Ended,
     Reply,
     Request,
-    WorkerNews, //
+    WorkerUpdate, //
 };
 use bytes::Bytes;
 
@@ -119,9 +119,9 @@
     /// [`Request::Workers`].
     #[prost(bool, tag = "8")]
     Workers(bool),
-    /// News of a worker for the owner.
+    /// A change on a worker, reported to the owner.
     #[prost(message, tag = "9")]
-    News(NewsBody),
+    WorkerUpdate(WorkerUpdateBody),
     /// The configuration in force at the peer.
     #[prost(bool, tag = "10")]
     Configuration(bool),
@@ -149,27 +149,27 @@
     pub jobs: Vec<u64>,
 }
 
-/// News of a worker.
+/// A change on a worker.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct NewsBody {
+pub struct WorkerUpdateBody {
     /// The worker's name.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The news.
+    /// The change.
     #[prost(oneof = "NewsKind", tags = "2, 3, 4")]
     pub kind: Option<NewsKind>,
 }
 
-/// Kinds of news.
+/// Kinds of changes on a worker; the name is bound to the attribute above.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum NewsKind {
-    /// [`WorkerNews::Changes`].
+    /// [`WorkerUpdate::Changes`].
     #[prost(message, tag = "2")]
     Changes(TasksBody),
-    /// [`WorkerNews::Silent`], in milliseconds.
+    /// [`WorkerUpdate::Silent`], in milliseconds.
     #[prost(uint64, tag = "3")]
     Silent(u64),
-    /// [`WorkerNews::Seen`].
+    /// [`WorkerUpdate::Seen`].
     #[prost(message, tag = "4")]
     Seen(SeenBody),
 }
@@ -339,7 +339,7 @@
             },
             Self::Accounts(_) => Request::Accounts,
             Self::Workers(_) => Request::Workers,
-            Self::News(_) | Self::Configuration(_) => return None,
+            Self::WorkerUpdate(_) | Self::Configuration(_) => return None,
         })
     }
 }
@@ -412,15 +412,15 @@
     }
 }
 
-impl NewsBody {
+impl WorkerUpdateBody {
     /// Encodes news of `worker`.
-    pub fn new(worker: &str, news: &WorkerNews) -> Self {
-        let kind = match news {
-            WorkerNews::Changes(changes) => NewsKind::Changes(TasksBody {
+    pub fn new(worker: &str, update: &WorkerUpdate) -> Self {
+        let kind = match update {
+            WorkerUpdate::Changes(changes) => NewsKind::Changes(TasksBody {
                 tasks: changes.iter().map(TaskBody::from).collect(),
             }),
-            WorkerNews::Silent { silent_ms } => NewsKind::Silent(*silent_ms),
-            WorkerNews::Seen {
+            WorkerUpdate::Silent { silent_ms } => NewsKind::Silent(*silent_ms),
+            WorkerUpdate::Seen {
                 incarnation,
                 leaving,
             } => NewsKind::Seen(SeenBody {
@@ -435,17 +435,17 @@
     }
 
     /// Decodes the news.
-    pub fn into_news(self) -> Option<(String, WorkerNews)> {
-        let news = match self.kind? {
+    pub fn into_update(self) -> Option<(String, WorkerUpdate)> {
+        let update = match self.kind? {
             NewsKind::Changes(body) => {
-                WorkerNews::Changes(body.tasks.into_iter().map(TaskBody::into_change).collect())
+                WorkerUpdate::Changes(body.tasks.into_iter().map(TaskBody::into_change).collect())
             }
-            NewsKind::Silent(silent_ms) => WorkerNews::Silent { silent_ms },
-            NewsKind::Seen(body) => WorkerNews::Seen {
+            NewsKind::Silent(silent_ms) => WorkerUpdate::Silent { silent_ms },
+            NewsKind::Seen(body) => WorkerUpdate::Seen {
                 incarnation: body.incarnation,
                 leaving: body.leaving,
             },
         };
-        Some((self.worker, news))
+        Some((self.worker, update))
     }
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -17,7 +17,6 @@
     FrameKind,
     Heartbeat,
     Hello,
-    NewsBody,
     NewsKind,
     RefusedBody,
     ReplyBody,
@@ -26,5 +25,6 @@
     RequestFrame,
     SeenBody,
     SubmitBody,
+    WorkerUpdateBody,
     WorkersBody, //
 };
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -81,7 +81,7 @@
 }
 
 fn tell(fleet: &mut Fleet, id: JobId, record: &JobRecord) {
-    fleet.tell(Input::Job {
+    fleet.tell(Input::JobStored {
         id,
         record: Arc::new(record.clone()),
         progress: None,
--- a/tests/face.rs
+++ b/tests/face.rs
@@ -204,7 +204,7 @@
         let (caller, job) = (caller.clone(), job.clone());
         async move { caller.submit("long", &job, 20_000).await }
     });
-    timer.after(500).await;
+    timer.sleep(500).await;
 
     let drained = client(&first, OPERATOR_TOKEN, &timer)
         .drain()
@@ -258,10 +258,10 @@
         .await
         .unwrap();
     let running = running.accepted().unwrap();
-    timer.after(300).await;
+    timer.sleep(300).await;
 
     platform.with_store(|store| store.faults.down = true);
-    timer.after(2_500).await;
+    timer.sleep(2_500).await;
     let probe = TaskSpec {
         marker: "refused".to_owned(),
         ..TaskSpec::default()
@@ -270,7 +270,7 @@
         .submit("refused", &small_job("standard", &probe), 0)
         .await
         .unwrap();
-    timer.after(1_000).await;
+    timer.sleep(1_000).await;
     platform.with_store(|store| store.faults.down = false);
     let answer = eventually(&timer, || async {
         let response = caller.answer(&running, 5_000).await.ok()?;
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -433,7 +433,7 @@
             for (id, record) in jobs {
                 next.tell(match unread.contains(id) {
                     true => Input::JobUnreadable(*id),
-                    false => Input::Job {
+                    false => Input::JobStored {
                         id: *id,
                         record: Arc::new(record.clone()),
                         progress: before.stored.get(id).map(|(_, noted)| noted.clone()),
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -371,7 +371,7 @@
     let mut next = fleet.next_owner_told(2, false, |next| {
         next.tell(Input::RosterUnreadable);
         next.tell(Input::WorkerRegistered(worker_info(other, "r1")));
-        next.tell(Input::Job {
+        next.tell(Input::JobStored {
             id: job,
             record: Arc::new(spec.clone()),
             progress: None,
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -218,7 +218,7 @@
         let journal = opened(&mut store, "d", owners << 32);
 
         let held: BTreeMap<u64, i32> =
-            journal.book().jobs().map(|job| (job.id, job.outcome)).collect();
+            journal.job_pages().jobs().map(|job| (job.id, job.outcome)).collect();
         prop_assert_eq!(held, naive);
     }
 
--- a/tests/owner_failures.rs
+++ b/tests/owner_failures.rs
@@ -257,7 +257,7 @@
         Event::Members(vec![worker]),
         Event::Configuration(configuration(configuration_version)),
         Event::ConfigurationConfirmed { asked_ms: 1_000 },
-        Event::Contest(true),
+        Event::Candidacy(true),
     ]
 }
 
@@ -338,7 +338,7 @@
         Event::Configuration(configuration(4)),
         9_000,
     );
-    drive(&mut second, &mut store, Event::Contest(true), 9_000);
+    drive(&mut second, &mut store, Event::Candidacy(true), 9_000);
 
     assert!(!second.is_owner());
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -500,7 +500,7 @@
     fleet.advance(100);
 
     let key = fleet.scheduler.workers()[0].key;
-    let row = fleet.scheduler.closed_row(key);
+    let row = fleet.scheduler.closed_record(key);
     assert_eq!(row, Some((true, closed_with(&fleet, vec![run]))));
 }
 
@@ -627,7 +627,7 @@
         Input::WorkerRegistered(at_address("crashed")),
         Input::WorkerRegistered(at_address("living")),
         Input::WorkerRegistered(worker_info(OTHER, "r1")),
-        Input::Job {
+        Input::JobStored {
             id: JobId(1),
             record: Arc::new(job),
             progress: None,
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -5,7 +5,7 @@
 use awc::http::StatusCode;
 use fuchsiaslip::daemon::{
     Daemon,
-    home_of, //
+    home_data_centre, //
 };
 use fuchsiaslip::standin::{
     Fleet,
@@ -89,7 +89,7 @@
         assert_eq!(again.job, served.job);
         assert_eq!(again.body, served.body);
         assert_eq!(
-            home_of(&places, "jadran", &key).map(String::as_str),
+            home_data_centre(&places, "jadran", &key).map(String::as_str),
             Some(home)
         );
         *homes.entry(home.to_owned()).or_default() += 1;
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -397,7 +397,7 @@
                 }
             }
             for (id, record) in jobs {
-                next.tell(Input::Job {
+                next.tell(Input::JobStored {
                     id: *id,
                     record: Arc::new(record.clone()),
                     progress: self.stored.get(id).map(|(_, progress)| progress.clone()),
@@ -694,7 +694,7 @@
     /// Accepts a job.
     pub fn submit(&mut self, id: u64, record: JobRecord) -> JobId {
         let id = JobId(id);
-        self.tell(Input::Job {
+        self.tell(Input::JobStored {
             id,
             record: Arc::new(record),
             progress: None,
@@ -869,7 +869,7 @@
                 }
             }
             Action::StoreClosedWorker { worker } if self.store_answers => {
-                let row = self.scheduler.closed_row(worker);
+                let row = self.scheduler.closed_record(worker);
                 let info = &self.scheduler.workers()[worker.index()].info;
                 let worker_name = info.worker_name.clone();
                 let closed = row.as_ref().is_some_and(|(closed, _)| *closed);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -147,7 +147,7 @@
             return found;
         }
         assert!(timer.now_ms() < until_ms, "nothing came in 15 seconds");
-        timer.after(50).await;
+        timer.sleep(50).await;
     }
 }
 
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -365,7 +365,7 @@
 
     fn arrive(&mut self, id: JobId) {
         let record = self.jobs[&id].record.clone();
-        self.tell(Input::Job {
+        self.tell(Input::JobStored {
             id,
             record,
             progress: None,
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -307,7 +307,7 @@
         for job in std::mem::take(&mut self.untold) {
             let known = self.jobs.iter().find(|(id, _)| *id == job);
             if let Some((id, record)) = known.filter(|_| !self.fleet.forgotten.contains(&job)) {
-                self.fleet.tell(Input::Job {
+                self.fleet.tell(Input::JobStored {
                     id: *id,
                     record: Arc::new(record.clone()),
                     progress: None,
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -36,7 +36,7 @@
     Reply,
     Request,
     Settings,
-    WorkerNews, //
+    WorkerUpdate, //
 };
 use fuchsiaslip::standin::{
     StoreStandIn,
@@ -234,7 +234,7 @@
         let configuration = self.configuration.clone();
         self.event(at, Event::Members(members));
         self.event(at, Event::Configuration(configuration));
-        self.event(at, Event::Contest(true));
+        self.event(at, Event::Candidacy(true));
     }
 
     fn members(&self) -> Vec<VmRecord> {
@@ -459,7 +459,7 @@
         self.check_always();
     }
 
-    /// Stands in for the keepers: polls every worker and tells the owner.
+    /// Stands in for the worker monitors: polls every worker and tells the owner.
     fn keep_workers(&mut self) {
         let owner = self.owner();
         for name in self.workers.keys().cloned().collect::<Vec<_>>() {
@@ -489,37 +489,37 @@
                 Ok(WorkerAnswer::Polled(polled)) => {
                     self.last_seen_ms.insert(name.clone(), now_ms);
                     self.cursors.insert(name, polled.cursor);
-                    let seen = WorkerNews::Seen {
+                    let seen = WorkerUpdate::Seen {
                         incarnation: polled.incarnation,
                         leaving: polled.leaving,
                     };
-                    let news = worker.clone();
+                    let name = worker.clone();
                     self.event(
                         owner,
-                        Event::News {
-                            worker: news,
-                            news: seen,
+                        Event::WorkerUpdate {
+                            worker: name,
+                            update: seen,
                         },
                     );
-                    let changes = WorkerNews::Changes(polled.changes);
+                    let changes = WorkerUpdate::Changes(polled.changes);
                     self.event(
                         owner,
-                        Event::News {
+                        Event::WorkerUpdate {
                             worker,
-                            news: changes,
+                            update: changes,
                         },
                     );
                 }
                 _ => {
                     let seen_ms = self.last_seen_ms.get(&name).copied().unwrap_or(now_ms);
-                    let silent = WorkerNews::Silent {
+                    let silent = WorkerUpdate::Silent {
                         silent_ms: now_ms - seen_ms,
                     };
                     self.event(
                         owner,
-                        Event::News {
+                        Event::WorkerUpdate {
                             worker,
-                            news: silent,
+                            update: silent,
                         },
                     );
                 }
