--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -143,7 +143,7 @@
     }
 
     /// The runs, if the worker is closed and all of them read.
-    pub fn closed_with(&self) -> Option<ClosedRuns> {
+    pub fn closed_runs(&self) -> Option<ClosedRuns> {
         let runs = self.runs.iter().map(|(task, run)| read_run(task, *run));
         let confirmed = self.confirmed.iter().map(|(task, run, at_start)| {
             Some(ConfirmedRun {
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -75,7 +75,7 @@
         }
         let record = record.flatten();
         inputs.push(Input::RosterWorker {
-            closed_with: record.and_then(|record| record.closed_with()),
+            closed_runs: record.and_then(|record| record.closed_runs()),
             worker_name: row.worker_name,
             address: row.address,
         });
@@ -94,7 +94,7 @@
 pub fn closed_workers(records: ClosedRecords) -> Vec<Input> {
     let records = records.into_iter();
     let closed = records.filter_map(|(worker_name, record)| {
-        let runs = record?.closed_with()?;
+        let runs = record?.closed_runs()?;
         Some(Input::ClosedWorker { worker_name, runs })
     });
     closed.collect()
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -318,9 +318,9 @@
         "done" => Some(EndKind::Done),
         "failed" => Some(EndKind::Failed),
         "stopped" => Some(EndKind::Stopped),
-        "lapsed" => Some(EndKind::Lapsed),
-        "broken" => Some(EndKind::Broken),
-        "alone" => Some(EndKind::Alone),
+        "lapsed" => Some(EndKind::LeaseExpired),
+        "broken" => Some(EndKind::GangEnded),
+        "alone" => Some(EndKind::GangIncomplete),
         _ => None,
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -50,8 +50,8 @@
         let on_trial = group.tasks[index as usize].is_suspect();
         let entry = super::Run {
             group: group_key,
-            room: group.room,
-            room_unknown: false,
+            resources: group.resources,
+            resources_unknown: false,
             phase: RunPhase::Starting,
             ordered_ms: now_ms,
             confirmed: false,
@@ -175,8 +175,9 @@
             CallOutcome::Done => {}
             CallOutcome::NoAnswer => {
                 run.resend_ms = now_ms + RESEND_MS;
-                let (phase, room) = (run.phase, run.room);
-                self.worker_mut(key).note_late_start(name, room, now_ms);
+                let (phase, resources) = (run.phase, run.resources);
+                self.worker_mut(key)
+                    .note_late_start(name, resources, now_ms);
                 if phase == RunPhase::Starting {
                     self.retried(key, name, "no_answer");
                 }
--- a/src/scheduler/draining.rs
+++ b/src/scheduler/draining.rs
@@ -57,7 +57,9 @@
             return false;
         };
         let elsewhere = self.workers.iter().any(|worker| {
-            worker.key != key && worker.takes_work(self.now_ms) && worker.free().holds(&group.room)
+            worker.key != key
+                && worker.takes_work(self.now_ms)
+                && worker.free().holds(&group.resources)
         });
         let bound = group.step.max_unavailable;
         elsewhere && bound.is_none_or(|bound| self.away(group, None) < bound.max(1))
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -143,8 +143,8 @@
     pub key: GroupKey,
     /// The step.
     pub step: Arc<StepSpec>,
-    /// What each task takes.
-    pub room: Resources,
+    /// The resources that each task takes.
+    pub resources: Resources,
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// How many are waiting.
@@ -166,7 +166,7 @@
     /// That run is being given up.
     pub gang_ending: bool,
     /// An earlier owner may have started tasks where this one cannot look.
-    pub blind: bool,
+    pub recovering: bool,
     /// The change of its job with the last crash at the start of one of its tasks; 0
     /// for none.
     pub crash_change: u64,
@@ -184,7 +184,7 @@
 impl Group {
     /// Whether a pass has something to place.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        if self.waiting == 0 || now_ms < self.released_ms || self.blind {
+        if self.waiting == 0 || now_ms < self.released_ms || self.recovering {
             return false;
         }
         // A gang starts with all members, so all have to be without a run.
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -121,5 +121,5 @@
         let on = matches!(run.phase, RunPhase::Starting | RunPhase::Running);
         on && run.priority == 0 && !run.long_running
     });
-    urgent.map(|run| run.room.accelerators).sum()
+    urgent.map(|run| run.resources.accelerators).sum()
 }
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -52,11 +52,11 @@
     /// It was stopped by an order.
     Stopped,
     /// Its lease ran out.
-    Lapsed,
+    LeaseExpired,
     /// Another member of its gang ended.
-    Broken,
+    GangEnded,
     /// Its gang did not become whole in time.
-    Alone,
+    GangIncomplete,
 }
 
 impl EndKind {
@@ -66,9 +66,9 @@
             Self::Done => "done",
             Self::Failed => "failed",
             Self::Stopped => "stopped",
-            Self::Lapsed => "lapsed",
-            Self::Broken => "broken",
-            Self::Alone => "alone",
+            Self::LeaseExpired => "lapsed",
+            Self::GangEnded => "broken",
+            Self::GangIncomplete => "alone",
         }
     }
 }
@@ -200,7 +200,7 @@
         address: String,
         /// Runs that may be there, if the store says that it got no more
         /// starts.
-        closed_with: Option<ClosedRuns>,
+        closed_runs: Option<ClosedRuns>,
     },
     /// The worker's entry is gone.
     WorkerUnlisted(String),
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -143,7 +143,7 @@
             priority: priority_under(terms.as_ref()),
             terms,
             known_ms: self.now_ms,
-            known_earlier: self.is_blind() || self.is_unreadable(id),
+            known_earlier: self.is_recovering() || self.is_unreadable(id),
             cancelled: false,
             ended: progress.ended,
             ended_ms: self.now_ms,
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -135,7 +135,7 @@
         &mut self,
         worker_name: String,
         address: String,
-        closed_with: Option<ClosedRuns>,
+        closed_runs: Option<ClosedRuns>,
     ) {
         let known = self.worker_index.get(&worker_name).copied();
         let key = known.unwrap_or_else(|| {
@@ -146,7 +146,7 @@
             })
         });
         self.worker_mut(key).on_roster = true;
-        if let Some(runs) = closed_with {
+        if let Some(runs) = closed_runs {
             self.take_closed(key, runs);
         }
     }
@@ -180,7 +180,7 @@
     /// After the end of the longest lease nothing runs there any more. A
     /// worker that is not listed either has left: the roster forgets it, or it
     /// would hold up the next owner, who could not reach it.
-    pub(super) fn review_lapse(&mut self, key: WorkerKey) {
+    pub(super) fn review_lease_expiry(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let worker = self.worker(key);
         let silent = matches!(worker.contact, Contact::Silent | Contact::Unfenced);
@@ -193,7 +193,7 @@
         let lapsed_ms = match (empty || never_used, worker.lease_end_ms) {
             (true, _) => Some(0),
             (false, 0) => Some(self.earlier_leases_over_ms),
-            (false, _) => worker.lapsed_at_ms(),
+            (false, _) => worker.leases_expired_ms(),
         };
         if !silent || lapsed_ms.is_none_or(|lapsed_ms| now_ms < lapsed_ms) {
             return;
--- a/src/scheduler/occurrence.rs
+++ b/src/scheduler/occurrence.rs
@@ -34,7 +34,7 @@
     /// How long a task of each step takes.
     run_times: Vec<LogEstimate>,
     /// Its tasks may run where this owner cannot look yet.
-    blind: bool,
+    recovering: bool,
 }
 
 /// A run on a worker, found there or noted.
@@ -153,7 +153,7 @@
             due_ms,
             objective_length_ms: self.objective_length_ms(job, &run_times),
             run_times,
-            blind: self.may_run_unseen(job),
+            recovering: self.may_run_unseen(job),
         }
     }
 
@@ -247,7 +247,7 @@
         for (step, run_time) in steps.iter().zip(run_times) {
             let begins = step.after.iter().map(|&at| ends.get(at as usize).copied());
             let begin = begins.flatten().fold(0.0, f64::max);
-            let fits = f64::from(room.times(&step.room()).max(1)) * WAVE_SHARE;
+            let fits = f64::from(room.times(&step.resources()).max(1)) * WAVE_SHARE;
             let waves = (f64::from(step.count) / fits.max(1.0)).ceil().max(1.0);
             ends.push(begin + run_time.value() * waves);
         }
@@ -318,7 +318,7 @@
     };
     let mut group = Group {
         key,
-        room: step.room(),
+        resources: step.resources(),
         tasks: vec![Task::default(); step.count as usize],
         waiting: step.count,
         done: 0,
@@ -329,7 +329,7 @@
         run_time_noted: false,
         gang_run: None,
         gang_ending: false,
-        blind: opening.blind,
+        recovering: opening.recovering,
         crash_change: 0,
         advice: Default::default(),
         preempted: 0,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -57,8 +57,8 @@
 
 /// A request to place a number of like tasks.
 pub struct PlacementRequest<'a> {
-    /// What each takes.
-    pub room: Resources,
+    /// The resources that each takes.
+    pub resources: Resources,
     /// How many.
     pub count: u32,
     /// When they end, if they start now.
@@ -105,7 +105,7 @@
             from_ms if self.end_ms <= from_ms => candidate.free,
             _ => candidate.free.minus(&candidate.kept),
         };
-        let fit = free.times(&self.room).min(self.count);
+        let fit = free.times(&self.resources).min(self.count);
         if fit == 0 {
             return 0;
         }
@@ -119,7 +119,7 @@
     }
 
     fn cost(&self, candidate: &CandidateWorker) -> f64 {
-        let left = candidate.free.minus(&self.room);
+        let left = candidate.free.minus(&self.resources);
         let mut cost = f64::from(left.accelerators) + f64::from(left.cpu_millis) * CORE_COST;
         cost += RACK_COST * f64::from(candidate.rack_free);
         cost += self.slowness_cost(candidate.slowness);
--- a/src/scheduler/poll_report.rs
+++ b/src/scheduler/poll_report.rs
@@ -62,8 +62,8 @@
         let mut ended = report.ended;
         ended.sort_by_key(|row| row.number);
         for row in ended {
-            if row.number > self.worker(key).taken_in {
-                self.worker_mut(key).taken_in = row.number;
+            if row.number > self.worker(key).last_received_end {
+                self.worker_mut(key).last_received_end = row.number;
                 self.take_end(key, row);
             }
         }
@@ -80,7 +80,7 @@
             self.settle_absent(key, sent_ms, &seen);
         }
         self.answered_at_address(key);
-        self.review_blindness();
+        self.review_recovery();
         // Looking again at once would bring the same ends until they are durable.
         let all_durable = self.advance_last_seen(key);
         self.worker_mut(key).poll_at_ms = match all_durable {
@@ -171,11 +171,11 @@
         let index = row.name.task.index;
         let (mut fits, mut run) = (false, Run::found(now_ms, group_key));
         // What it takes is not known: nothing else goes there meanwhile.
-        run.room = self.worker(key).info.capacity;
-        run.room_unknown = true;
+        run.resources = self.worker(key).info.capacity;
+        run.resources_unknown = true;
         if let Some(group) = self.groups.get_mut(&group_key) {
-            run.room = group.room;
-            run.room_unknown = false;
+            run.resources = group.resources;
+            run.resources_unknown = false;
             run.fills = group.step.fills;
             run.throttle_percent = if run.fills { u32::MAX } else { 100 };
             run.serves = group.step.serves();
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -46,14 +46,14 @@
     /// Worth that is lost with it, its whole gang included.
     loss: f64,
     name: RunName,
-    room: Resources,
+    resources: Resources,
     /// Its gang, which ends with it.
     gang: Option<GroupKey>,
 }
 
 impl Victim {
     fn price(&self) -> f64 {
-        self.loss / f64::from(self.room.accelerators.max(1))
+        self.loss / f64::from(self.resources.accelerators.max(1))
     }
 }
 
@@ -77,7 +77,7 @@
     candidate: usize,
     worker: WorkerKey,
     free: Resources,
-    room: Resources,
+    resources: Resources,
     left: u32,
     /// The one that costs least for the accelerators it gives comes first.
     victims: Vec<Victim>,
@@ -92,15 +92,15 @@
         let mut slot = Slot::default();
         let mut free = self.free;
         let mut victims = self.victims.iter();
-        while !free.holds(&self.room) {
+        while !free.holds(&self.resources) {
             let victim = victims.next()?;
-            free = free.plus(&victim.room);
+            free = free.plus(&victim.resources);
             slot.victims.push(*victim);
         }
         // Small ones that were taken first may be needless beside a large one.
         for at in (0..slot.victims.len()).rev() {
-            let without = free.minus(&slot.victims[at].room);
-            if without.holds(&self.room) {
+            let without = free.minus(&slot.victims[at].resources);
+            if without.holds(&self.resources) {
                 free = without;
                 slot.victims.remove(at);
             }
@@ -111,10 +111,10 @@
 
     fn take(&mut self, slot: &Slot) {
         for victim in &slot.victims {
-            self.free = self.free.plus(&victim.room);
+            self.free = self.free.plus(&victim.resources);
             self.victims.retain(|other| other.name != victim.name);
         }
-        self.free = self.free.minus(&self.room);
+        self.free = self.free.minus(&self.resources);
         self.left -= 1;
     }
 
@@ -154,7 +154,7 @@
         let Some(chosen) = self.worth_taking(ranked, queue, candidates) else {
             return false;
         };
-        let room = self.groups[&ranked.key].room;
+        let resources = self.groups[&ranked.key].resources;
         let settle_ms = self.now_ms + self.tuning.settle_ms();
         let mut stops = Vec::new();
         let mut claims: BTreeMap<WorkerKey, u32> = BTreeMap::new();
@@ -164,7 +164,7 @@
             slot,
         } in chosen
         {
-            candidates[candidate].free = candidates[candidate].free.minus(&room);
+            candidates[candidate].free = candidates[candidate].free.minus(&resources);
             *claims.entry(worker).or_default() += 1;
             stops.extend(slot.victims.iter().map(|victim| (worker, victim.name)));
         }
@@ -224,7 +224,7 @@
                 .filter(|candidate| candidate.worker == worker)
             {
                 for _ in 0..count {
-                    candidate.free = candidate.free.minus(&group.room);
+                    candidate.free = candidate.free.minus(&group.resources);
                 }
             }
         }
@@ -330,7 +330,7 @@
         let mut victims: Vec<Victim> = Vec::new();
         for (&name, run) in &worker.runs {
             if ends_soon(run) {
-                free = free.plus(&run.room);
+                free = free.plus(&run.resources);
             } else if let Some(victim) = self.victim(ranked, name, run) {
                 victims.push(victim);
             }
@@ -339,7 +339,7 @@
             candidate: at,
             worker: candidate.worker,
             free,
-            room: request.room,
+            resources: request.resources,
             left: (request.allowed)(candidate.worker).min(request.count),
             victims,
         };
@@ -364,7 +364,7 @@
             return None;
         }
         // Its other members may not be known yet.
-        if group.is_some_and(|group| group.step.gang && group.blind) {
+        if group.is_some_and(|group| group.step.gang && group.recovering) {
             return None;
         }
         let gang = group.filter(|group| group.step.gang);
@@ -380,7 +380,7 @@
         Some(Victim {
             loss: loss * f64::from(again),
             name,
-            room: run.room,
+            resources: run.resources,
             gang: gang.map(|group| group.key),
         })
     }
@@ -412,7 +412,7 @@
     fn work_lost(&self, run: &Run) -> f64 {
         let group = self.groups.get(&run.group);
         let lost_ms = self.lost_ms(run, group) + self.tuning.stop_ms / 2;
-        run.room.weight() as f64 * lost_ms as f64
+        run.resources.weight() as f64 * lost_ms as f64
     }
 }
 
@@ -423,7 +423,7 @@
         let run = self.worker(key).runs.get(&name);
         let group = self.groups.get(&GroupKey::of(name.task));
         run.map_or(0.0, |run| {
-            run.room.weight() as f64 * self.lost_ms(run, group) as f64 / MILLI_CORE_MS
+            run.resources.weight() as f64 * self.lost_ms(run, group) as f64 / MILLI_CORE_MS
         })
     }
 
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -8,7 +8,7 @@
 //! earlier owner knew are not started anew: they could run twice.
 //!
 //! A roster that does not read may name any worker: then only the longest lease
-//! ends the blindness.
+//! ends the recovery.
 //!
 //! What runs on a worker that an earlier owner closed is stored, so only those
 //! tasks wait for it.
@@ -42,10 +42,10 @@
 impl Scheduler {
     /// All that was stored is told; from here on the workers are asked.
     pub(super) fn begin_recovery(&mut self, earlier_owner_over: bool) {
-        if self.recovered {
+        if self.stored_state_read {
             return;
         }
-        self.recovered = true;
+        self.stored_state_read = true;
         self.earlier_owner_over = earlier_owner_over;
         let lease_ms = self.tuning.lease_ms;
         let authority_ms = match earlier_owner_over {
@@ -54,24 +54,24 @@
         };
         let wait_ms = authority_ms + lease_ms + lease_ms * CLOCK_DRIFT_PERMILLE / 1_000;
         self.earlier_leases_over_ms = self.began_ms + wait_ms + MARGIN_MS;
-        self.blind_until_ms = Some(self.earlier_leases_over_ms);
+        self.recovering_until_ms = Some(self.earlier_leases_over_ms);
         for group in self.groups.values_mut() {
-            group.blind = true;
+            group.recovering = true;
         }
         for at in 0..self.workers.len() {
             self.poll_if_due(WorkerKey(at as u32));
         }
-        self.review_blindness();
+        self.review_recovery();
     }
 
     /// Whether an earlier owner may have started tasks of a job that becomes
     /// known now.
-    pub(super) fn is_blind(&self) -> bool {
-        match self.blind_until_ms {
+    pub(super) fn is_recovering(&self) -> bool {
+        match self.recovering_until_ms {
             // The time alone proves nothing: an owner whose view of the jobs is
             // behind is told late of one that the earlier owner may have started.
             Some(_) => !self.earlier_owner_over && self.jobs_read_ms < self.began_ms + DEPOSED_MS,
-            None => !self.recovered,
+            None => !self.stored_state_read,
         }
     }
 
@@ -80,13 +80,13 @@
     /// takeover: an owner that is cut off goes on by the clock, and the task would
     /// run twice.
     pub(super) fn may_run_unseen(&self, job: &GraphJob) -> bool {
-        self.is_blind() || (job.known_earlier && self.blind_until_ms.is_some())
+        self.is_recovering() || (job.known_earlier && self.recovering_until_ms.is_some())
     }
 
-    /// Ends the blindness once every worker of the roster answered, or the
-    /// longest lease of an earlier owner is over.
-    pub(super) fn review_blindness(&mut self) {
-        let Some(until_ms) = self.blind_until_ms else {
+    /// Ends the recovery once every worker of the roster answered, or the longest
+    /// lease of an earlier owner is over.
+    pub(super) fn review_recovery(&mut self) {
+        let Some(until_ms) = self.recovering_until_ms else {
             return;
         };
         let is_unheard = |worker: &&Worker| {
@@ -101,26 +101,30 @@
         }
         let unheard = self.workers.iter().filter(is_unheard);
         let unheard: Vec<_> = unheard.map(Worker::name).collect();
-        self.blind_until_ms = None;
+        self.recovering_until_ms = None;
         self.changed = true;
         self.replace_unread_roster();
         self.decided(Decision::RecoveryOver {
             waited_ms: self.now_ms - self.began_ms,
-            groups: self.groups.values().filter(|group| group.blind).count(),
+            groups: self
+                .groups
+                .values()
+                .filter(|group| group.recovering)
+                .count(),
             unheard,
         });
         let keys: Vec<GroupKey> = self.groups.keys().copied().collect();
         for key in keys {
-            self.end_blindness(key);
+            self.end_group_recovery(key);
         }
     }
 
     /// A gang of which only some members were found cannot become whole.
-    fn end_blindness(&mut self, key: GroupKey) {
+    fn end_group_recovery(&mut self, key: GroupKey) {
         let Some(group) = self.groups.get_mut(&key) else {
             return;
         };
-        group.blind = false;
+        group.recovering = false;
         let placed = |state: &TaskState| matches!(state, TaskState::Placed { .. });
         let found = group
             .tasks
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -77,7 +77,7 @@
         }
         for slot in chosen {
             let candidate = &mut candidates[slot.candidate];
-            candidate.kept = candidate.kept.plus(&group.room);
+            candidate.kept = candidate.kept.plus(&group.resources);
             candidate.kept_from_ms = match candidate.kept_from_ms {
                 0 => from_ms,
                 before => before.min(from_ms),
@@ -134,14 +134,14 @@
         let mut free = candidate.free.minus(&candidate.kept);
         let (mut at_ms, mut ends) = (self.now_ms, ends.iter());
         for _ in 0..most {
-            while !free.holds(&request.room) {
+            while !free.holds(&request.resources) {
                 let Some((end_ms, room)) = ends.next() else {
                     return;
                 };
                 at_ms = at_ms.max(*end_ms);
                 free = free.plus(room);
             }
-            free = free.minus(&request.room);
+            free = free.minus(&request.resources);
             slots.push(FreeSlot {
                 at_ms,
                 candidate: at,
@@ -160,7 +160,7 @@
                 let known = by_gang.entry(group.key);
                 *known.or_insert_with(|| self.gang_left_ms(group))
             });
-            Some((end_ms?, run.room))
+            Some((end_ms?, run.resources))
         });
         let mut ends: Vec<(u64, Resources)> = ends.collect();
         ends.sort_by_key(|(end_ms, _)| *end_ms);
--- a/src/scheduler/run_ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -30,7 +30,7 @@
         let waits_for = self.note_end(key, &row);
         // `Broken` and `Alone` can themselves result from the crash of another member's
         // worker.
-        if !matches!(row.kind, EndKind::Broken | EndKind::Alone) {
+        if !matches!(row.kind, EndKind::GangEnded | EndKind::GangIncomplete) {
             self.note_gang_ended(row.name);
         }
         self.run_gone(key, row.name);
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -84,7 +84,7 @@
                 break;
             }
             let patient = self.is_patient(ranked.key);
-            let room = self.groups[&ranked.key].room.accelerators;
+            let room = self.groups[&ranked.key].resources.accelerators;
             let limit = match patient {
                 true => patient_room.tasks(room, self.patience(ranked.key)),
                 false => u32::MAX,
@@ -160,7 +160,7 @@
             return 0;
         };
         let queue = known.terms.clone();
-        if plain && queue.advice.is_none() && misses.covers(&group.room) {
+        if plain && queue.advice.is_none() && misses.covers(&group.resources) {
             return 0;
         }
         if !self.has_advice(key, &queue, candidates) {
@@ -185,7 +185,7 @@
         }
         if !complete {
             if plain && !limited {
-                misses.needs.push(self.groups[&key].room);
+                misses.needs.push(self.groups[&key].resources);
             }
             if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, candidates) {
                 kept.ends.forget();
@@ -249,7 +249,7 @@
             }
         };
         then(&PlacementRequest {
-            room: group.room,
+            resources: group.resources,
             count: group.waiting,
             end_ms: self.now_ms + group.run_ms(),
             tolerance: group.objective_ms.saturating_sub(self.now_ms) as f64
@@ -301,7 +301,7 @@
             .map(|(index, _)| index)
             .collect::<Vec<_>>()
             .into_iter();
-        let (room, gang) = (group.room, group.step.gang);
+        let (room, gang) = (group.resources, group.step.gang);
         let (fills, serves) = (group.step.fills, group.step.serves());
         let gang_run = gang.then(|| self.next_run(key, None));
         let on_trial = self.is_on_trial(key);
@@ -350,13 +350,13 @@
             let worker = self.worker(candidate.worker);
             worker.info.service == queue.service
                 && worker.has_label(&group.step.required_label)
-                && candidate.free.holds(&group.room)
+                && candidate.free.holds(&group.resources)
         };
         let ticketed = candidates
             .iter()
             .filter(useful)
             .filter(|candidate| self.has_ticket(group, candidate.worker))
-            .map(|candidate| candidate.free.times(&group.room))
+            .map(|candidate| candidate.free.times(&group.resources))
             .fold(0u32, u32::saturating_add);
         if ticketed >= group.waiting {
             return true;
--- a/src/scheduler/spec.rs
+++ b/src/scheduler/spec.rs
@@ -101,8 +101,8 @@
 }
 
 impl StepSpec {
-    /// What a task takes from its worker's room.
-    pub fn room(&self) -> Resources {
+    /// The resources that a task takes on its worker.
+    pub fn resources(&self) -> Resources {
         Resources {
             cpu_millis: if self.fills { 0 } else { self.needs.cpu_millis },
             ..self.needs
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -92,9 +92,9 @@
     decided_ms: u64,
     /// Time between two decisions, as it mostly is.
     usual_gap_ms: f64,
-    pub(super) recovered: bool,
+    pub(super) stored_state_read: bool,
     /// Until then earlier owners' starts may run where this one cannot look.
-    pub(super) blind_until_ms: Option<u64>,
+    pub(super) recovering_until_ms: Option<u64>,
     /// From then on nothing runs that an earlier owner gave a lease to.
     pub(super) earlier_leases_over_ms: u64,
     /// The process of the earlier owner has certainly ended.
@@ -156,8 +156,8 @@
             resumed_ms: 0,
             decided_ms: now_ms,
             usual_gap_ms: 0.0,
-            recovered: false,
-            blind_until_ms: None,
+            stored_state_read: false,
+            recovering_until_ms: None,
             earlier_leases_over_ms: 0,
             earlier_owner_over: false,
             configuration: Arc::default(),
@@ -219,8 +219,8 @@
             Input::RosterWorker {
                 worker_name,
                 address,
-                closed_with,
-            } => self.handle_roster_worker(worker_name, address, closed_with),
+                closed_runs,
+            } => self.handle_roster_worker(worker_name, address, closed_runs),
             Input::WorkerUnlisted(name) => self.handle_worker_unlisted(&name),
             Input::EntriesRead { sent_ms } => self.handle_entries_read(sent_ms),
             Input::WorkerEntryUnusable {
@@ -296,7 +296,7 @@
     pub fn decide(&mut self, now_ms: u64) -> Vec<Action> {
         self.note_pause(now_ms);
         self.now_ms = self.now_ms.max(now_ms);
-        if self.recovered {
+        if self.stored_state_read {
             self.open_due();
             if self.now_ms >= self.review_at_ms {
                 self.review_at_ms = self.now_ms + REVIEW_MS;
@@ -450,7 +450,7 @@
 
     /// Looks through workers and runs for what has become due.
     fn review(&mut self) {
-        self.review_blindness();
+        self.review_recovery();
         // An owner that knows no configuration starts nothing: what it stopped, to
         // have it run better elsewhere, would only be thrown away.
         let may_move = self.configuration.version > 0;
@@ -459,7 +459,7 @@
             if self.workers[at].contact == Contact::Gone {
                 continue;
             }
-            self.review_lapse(key);
+            self.review_lease_expiry(key);
             self.review_runs(key);
             if may_move {
                 self.review_leaving(key);
--- a/src/scheduler/unreadable.rs
+++ b/src/scheduler/unreadable.rs
@@ -133,7 +133,7 @@
         }
         let worker = self.worker_mut(key);
         worker.on_roster = worker.contact != Contact::Gone;
-        if self.recovered {
+        if self.stored_state_read {
             self.poll_if_due(key);
         }
     }
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -169,7 +169,7 @@
             return;
         }
         // An owner that finds a wave does not know how long it is open.
-        let left_ms = match self.recovered {
+        let left_ms = match self.stored_state_read {
             true => order.duration_ms,
             false => order.duration_ms / 2,
         };
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -27,7 +27,7 @@
 /// bound is 20.
 pub(super) const CLOCK_DRIFT_PERMILLE: u64 = 25;
 /// Added to the end of a lease, for the worker to kill what it runs.
-const LAPSE_MARGIN_MS: u64 = 100;
+const LEASE_MARGIN_MS: u64 = 100;
 
 /// A look shows what an order did only if it was sent this much after the
 /// order's answer: both are known to the millisecond, and a look sent in the
@@ -59,10 +59,10 @@
 pub struct Run {
     /// The step that it belongs to.
     pub group: GroupKey,
-    /// What it takes.
-    pub room: Resources,
-    /// That is not known: it holds all the room there is.
-    pub room_unknown: bool,
+    /// The resources that it takes.
+    pub resources: Resources,
+    /// Its resources are not known: it takes all that the worker has.
+    pub resources_unknown: bool,
     /// Where it stands.
     pub phase: RunPhase,
     /// When it was ordered.
@@ -145,8 +145,8 @@
     pub(super) fn found(now_ms: u64, group: GroupKey) -> Self {
         Self {
             group,
-            room: Resources::default(),
-            room_unknown: false,
+            resources: Resources::default(),
+            resources_unknown: false,
             phase: RunPhase::Running,
             ordered_ms: now_ms,
             confirmed: true,
@@ -213,8 +213,8 @@
     pub used: Resources,
     /// Ends up to here are durable.
     pub last_seen: u64,
-    /// Ends up to here are taken in.
-    pub taken_in: u64,
+    /// Number of the last end that was received from it.
+    pub last_received_end: u64,
     /// Ends that were reported but not yet acknowledged, in the order of their numbers.
     pub unacknowledged_ends: VecDeque<UnacknowledgedEnd>,
     /// A poll is in flight.
@@ -283,7 +283,7 @@
             runs: BTreeMap::new(),
             used: Resources::default(),
             last_seen: 0,
-            taken_in: 0,
+            last_received_end: 0,
             unacknowledged_ends: VecDeque::new(),
             poll_in_flight: false,
             first_poll: false,
@@ -326,9 +326,9 @@
     /// A run of which nothing is known holds all the room, also if the capacity
     /// was not known when it was found.
     fn fill_with_unknown(&mut self, capacity: Resources) {
-        for run in self.runs.values_mut().filter(|run| run.room_unknown) {
-            self.used = self.used.minus(&run.room).plus(&capacity);
-            run.room = capacity;
+        for run in self.runs.values_mut().filter(|run| run.resources_unknown) {
+            self.used = self.used.minus(&run.resources).plus(&capacity);
+            run.resources = capacity;
         }
     }
 
@@ -416,24 +416,24 @@
     /// From when on nothing that this owner ordered can run there, without a
     /// further answer: the end of the longest lease that was ever sent, on a
     /// clock that is as slow as the platform allows.
-    pub fn lapsed_at_ms(&self) -> Option<u64> {
+    pub fn leases_expired_ms(&self) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         let left_ms = self.lease_end_ms.saturating_sub(clock_ms);
-        Some(read_ms + left_ms + left_ms * CLOCK_DRIFT_PERMILLE / 1_000 + LAPSE_MARGIN_MS)
+        Some(read_ms + left_ms + left_ms * CLOCK_DRIFT_PERMILLE / 1_000 + LEASE_MARGIN_MS)
     }
 
     /// Takes in a run.
     pub fn add_run(&mut self, name: RunName, run: Run) {
-        self.used = self.used.plus(&run.room);
+        self.used = self.used.plus(&run.resources);
         if let Some(before) = self.runs.insert(name, run) {
-            self.used = self.used.minus(&before.room);
+            self.used = self.used.minus(&before.resources);
         }
     }
 
     /// Lets a run go with its room.
     pub fn remove_run(&mut self, name: &RunName) -> Option<Run> {
         let run = self.runs.remove(name)?;
-        self.used = self.used.minus(&run.room);
+        self.used = self.used.minus(&run.resources);
         Some(run)
     }
 
@@ -443,6 +443,6 @@
             .runs
             .values()
             .filter(|run| matches!(run.phase, RunPhase::Stopping | RunPhase::Ending));
-        leaving.fold(self.free(), |sum, run| sum.plus(&run.room))
+        leaving.fold(self.free(), |sum, run| sum.plus(&run.resources))
     }
 }
--- a/src/scheduler/worker_health.rs
+++ b/src/scheduler/worker_health.rs
@@ -113,7 +113,7 @@
                 && worker.info.service == service
                 && caution.allows(worker, now_ms)
         });
-        let room = others.map(|worker| worker.info.capacity.times(&group.room));
+        let room = others.map(|worker| worker.info.capacity.times(&group.resources));
         let room = room.fold(0u32, u32::saturating_add);
         (room >= group.waiting).then_some(caution)
     }
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -48,21 +48,21 @@
 pub struct LateStart {
     /// The run.
     pub name: RunName,
-    /// What it takes.
-    pub room: Resources,
+    /// The resources that it takes.
+    pub resources: Resources,
     /// It may be carried out until then.
     pub until_ms: u64,
 }
 
 impl Worker {
     /// Notes that a start had no answer.
-    pub(super) fn note_late_start(&mut self, name: RunName, room: Resources, now_ms: u64) {
+    pub(super) fn note_late_start(&mut self, name: RunName, resources: Resources, now_ms: u64) {
         let until_ms = now_ms + LATE_START_MS;
         self.late_starts
             .retain(|late| now_ms < late.until_ms && late.name != name);
         self.late_starts.push(LateStart {
             name,
-            room,
+            resources,
             until_ms,
         });
     }
@@ -207,7 +207,7 @@
         run.throttle_in_flight = false;
         if !run.confirmed {
             let worker = self.worker_mut(key);
-            worker.note_late_start(name, run.room, now_ms);
+            worker.note_late_start(name, run.resources, now_ms);
         }
         if !listed {
             run.phase = RunPhase::Stopping;
@@ -234,12 +234,15 @@
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
         worker.late_starts.retain(|late| now_ms < late.until_ms);
-        for LateStart { name, room, .. } in worker.late_starts.clone() {
+        for LateStart {
+            name, resources, ..
+        } in worker.late_starts.clone()
+        {
             if worker.runs.contains_key(&name) {
                 continue;
             }
             let mut run = Run::found(now_ms, GroupKey::of(name.task));
-            run.room = room;
+            run.resources = resources;
             run.phase = RunPhase::Stopping;
             run.conclusive_ms = None;
             worker.add_run(name, run);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -228,8 +228,8 @@
             panic!("expected two running members: {running:?}");
         };
         fleet.silent.push(second_worker.clone());
-        fleet.end_run(first_worker, *first_member, EndKind::Lapsed);
-        fleet.end_run(second_worker, *second_member, EndKind::Broken);
+        fleet.end_run(first_worker, *first_member, EndKind::LeaseExpired);
+        fleet.end_run(second_worker, *second_member, EndKind::GangEnded);
         fleet.advance(200);
         fleet.crash(second_worker);
         fleet.silent.clear();
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -199,7 +199,7 @@
             let began_ms = *self.began.entry(name).or_insert(now_ms);
             let lapsed = self.fleet.workers[&worker].has_lapsed(now_ms);
             if lapsed {
-                self.fleet.end_run(&worker, name, EndKind::Lapsed);
+                self.fleet.end_run(&worker, name, EndKind::LeaseExpired);
             } else if now_ms >= began_ms + RUN_MS && self.is_whole(name) {
                 self.fleet.end_run(&worker, name, EndKind::Done);
             }
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -386,7 +386,7 @@
     fn end_members(&mut self, run: RunName, kind: EndKind) {
         let others = match kind {
             EndKind::Done => EndKind::Done,
-            _ => EndKind::Broken,
+            _ => EndKind::GangEnded,
         };
         for worker in self.fleet.workers.values_mut() {
             let names: Vec<RunName> = worker.running.keys().copied().collect();
@@ -418,7 +418,7 @@
                     next.tell(Input::RosterWorker {
                         worker_name: name(at),
                         address: address_of(&name(at)),
-                        closed_with: before.closed.get(&name(at)).cloned().flatten(),
+                        closed_runs: before.closed.get(&name(at)).cloned().flatten(),
                     });
                 } else if let Some(Some(runs)) = before.closed.get(&name(at)) {
                     next.tell(Input::ClosedWorker {
@@ -472,7 +472,7 @@
                 if worker.lease_end_ms > 0 && worker.has_lapsed(self.fleet.now_ms) {
                     let names: Vec<RunName> = worker.running.keys().copied().collect();
                     for name in names {
-                        worker.end(name, EndKind::Lapsed);
+                        worker.end(name, EndKind::LeaseExpired);
                     }
                 }
             }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -44,7 +44,7 @@
         let known = Input::RosterWorker {
             worker_name: format!("w{at}"),
             address: format!("w{at}:1"),
-            closed_with: None,
+            closed_runs: None,
         };
         scheduler.handle(known, BEGIN_MS);
     }
@@ -431,7 +431,7 @@
 }
 
 /// What is stored of the closed worker `w0` with these runs.
-fn closed_with(fleet: &Fleet, runs: Vec<RunName>) -> ClosedRuns {
+fn closed_runs(fleet: &Fleet, runs: Vec<RunName>) -> ClosedRuns {
     ClosedRuns {
         incarnation_start_ms: Some(fleet.workers["w0"].incarnation_start_ms),
         ..runs.into()
@@ -445,7 +445,7 @@
     let mut fleet = Fleet::with_workers(1);
     fleet.silent.push("w0".to_owned());
     fleet.advance(1_500);
-    let empty = closed_with(&fleet, Vec::new());
+    let empty = closed_runs(&fleet, Vec::new());
     assert_eq!(fleet.closed["w0"], Some(empty), "it is closed");
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.silent.clear();
@@ -501,7 +501,7 @@
 
     let key = fleet.scheduler.workers()[0].key;
     let row = fleet.scheduler.closed_record(key);
-    assert_eq!(row, Some((true, closed_with(&fleet, vec![run]))));
+    assert_eq!(row, Some((true, closed_runs(&fleet, vec![run]))));
 }
 
 /// An owner that was paused for seconds went on with its last confirmation and
@@ -616,7 +616,7 @@
     let known = |name: &str, address: &str| Input::RosterWorker {
         worker_name: name.to_owned(),
         address: address.to_owned(),
-        closed_with: None,
+        closed_runs: None,
     };
     let mut scheduler = Scheduler::new(2, Tuning::default(), BEGIN_MS);
     let job = record("plain", vec![step(1, 1)]);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -172,7 +172,7 @@
         EndKind::Failed,
         EndKind::Failed,
         EndKind::Failed,
-        EndKind::Lapsed,
+        EndKind::LeaseExpired,
     ] {
         fleet.end_all(job, kind);
         fleet.advance(100);
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -411,7 +411,7 @@
         Input::RosterWorker {
             worker_name: name.to_owned(),
             address: address_of(name),
-            closed_with: self.closed.get(name).cloned().flatten(),
+            closed_runs: self.closed.get(name).cloned().flatten(),
         }
     }
 
@@ -636,7 +636,7 @@
             let members = names
                 .into_iter()
                 .filter(|name| GroupKey::of(name.task) == key && name.run == lost.run);
-            members.for_each(|name| worker.end(name, EndKind::Broken));
+            members.for_each(|name| worker.end(name, EndKind::GangEnded));
         }
     }
 
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -70,7 +70,7 @@
             if gang {
                 let others = match kind {
                     EndKind::Done => EndKind::Done,
-                    _ => EndKind::Broken,
+                    _ => EndKind::GangEnded,
                 };
                 for (at, member) in self.members(name) {
                     self.end_run(at, member, others);
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -175,7 +175,7 @@
             self.void.extend(listed);
             let running: Vec<RunName> = fake.running.keys().copied().collect();
             for name in running {
-                fake.end(name, EndKind::Lapsed);
+                fake.end(name, EndKind::LeaseExpired);
             }
         }
     }
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -493,11 +493,11 @@
                         incarnation: polled.incarnation,
                         leaving: polled.leaving,
                     };
-                    let name = worker.clone();
+                    let reported = worker.clone();
                     self.event(
                         owner,
                         Event::WorkerUpdate {
-                            worker: name,
+                            worker: reported,
                             update: seen,
                         },
                     );
