--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -69,9 +69,9 @@
         .filter(|load| only.as_ref().is_none_or(|only| load.name.contains(only)));
     for load in chosen {
         for (name, order) in [
-            ("worth", OrderingPolicy::Worth),
-            ("first_come", OrderingPolicy::FirstCome),
-            ("shortest", OrderingPolicy::Shortest),
+            ("worth", OrderingPolicy::Utility),
+            ("first_come", OrderingPolicy::FirstComeFirstServed),
+            ("shortest", OrderingPolicy::ShortestFirst),
         ] {
             let runs: Vec<Figures> = SEEDS
                 .iter()
--- a/src/cluster/actions.rs
+++ b/src/cluster/actions.rs
@@ -30,7 +30,7 @@
 
 fn carry_out(node: &Rc<Node>, output: Output) {
     let epoch = output.epoch;
-    let mut forgotten: Vec<JobId> = Vec::new();
+    let mut deleted_jobs: Vec<JobId> = Vec::new();
     let mut waves = Vec::new();
     let mut emptied = Vec::new();
     for action in output.actions {
@@ -98,7 +98,7 @@
                 });
                 emptied.push((data_centre.to_string(), record));
             }
-            Action::DeleteJob { job } => forgotten.push(job),
+            Action::DeleteJob { job } => deleted_jobs.push(job),
             Action::OwnershipLost => {
                 node.stop_owning("worker_fenced");
                 return;
@@ -113,7 +113,7 @@
         progress: output.records,
         roster: output.roster,
         closed: output.closed,
-        forgotten,
+        deleted_jobs,
         waves,
         emptied,
     });
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -76,7 +76,7 @@
             node.control.send_input(epoch, input);
         }
     }
-    for job in batch.forgotten {
+    for job in batch.deleted_jobs {
         node.control.send_input(epoch, Input::JobDeleted(job));
     }
     if let Some(workers) = batch.roster {
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -66,7 +66,7 @@
     /// Data centres that get no new tasks; `None` for those that get them again.
     pub emptied: Vec<(String, Option<EmptiedRecord>)>,
     /// Jobs of which nothing is to be kept.
-    pub forgotten: Vec<JobId>,
+    pub deleted_jobs: Vec<JobId>,
 }
 
 /// Values that a job has in the store.
@@ -86,7 +86,7 @@
     emptied: BTreeMap<String, Option<EmptiedRecord>>,
     /// What an earlier owner stored of data centres.
     found_emptied: HashMap<String, EmptiedRecord>,
-    forgotten: Vec<JobId>,
+    deleted_jobs: Vec<JobId>,
     revisions: HashMap<String, u64>,
 }
 
@@ -110,7 +110,7 @@
     waves: Vec<(u64, bool)>,
     emptied: Vec<(String, Option<EmptiedRecord>)>,
     /// Jobs whose values it removes.
-    pub forgotten: Vec<JobId>,
+    pub deleted_jobs: Vec<JobId>,
 }
 
 impl Batch {
@@ -125,7 +125,7 @@
             closed: Vec::new(),
             waves: Vec::new(),
             emptied: Vec::new(),
-            forgotten: Vec::new(),
+            deleted_jobs: Vec::new(),
         }
     }
 
@@ -180,7 +180,7 @@
             && changes.closed.is_empty()
             && changes.waves.is_empty()
             && changes.emptied.is_empty()
-            && changes.forgotten.is_empty();
+            && changes.deleted_jobs.is_empty();
         if empty {
             return;
         }
@@ -201,7 +201,7 @@
                 pending.emptied.insert(data_centre, record);
             }
         }
-        pending.forgotten.extend(changes.forgotten);
+        pending.deleted_jobs.extend(changes.deleted_jobs);
         self.added.notify_one();
     }
 
@@ -245,8 +245,8 @@
             batch.emptied.push((data_centre.clone(), record.clone()));
         }
         // Nobody waits for what is forgotten: it takes the room that is left.
-        for &job in pending.forgotten.iter().take(batch.room(REMOVED_KEYS)) {
-            batch.forgotten.push(job);
+        for &job in pending.deleted_jobs.iter().take(batch.room(REMOVED_KEYS)) {
+            batch.deleted_jobs.push(job);
             batch.transaction.removed.extend(keys_of(job));
         }
         let transaction = &batch.transaction;
@@ -297,8 +297,8 @@
                 pending.waves.remove(wave);
             }
         }
-        for &job in &batch.forgotten {
-            pending.forgotten.retain(|&other| other != job);
+        for &job in &batch.deleted_jobs {
+            pending.deleted_jobs.retain(|&other| other != job);
             for key in keys_of(job) {
                 pending.revisions.remove(&key);
             }
--- a/src/scheduler/crashes.rs
+++ b/src/scheduler/crashes.rs
@@ -129,9 +129,9 @@
     }
 }
 
-/// How a worker's incarnation exited, or what else took its runs.
+/// Why the runs of a worker's incarnation were lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Loss {
+pub(super) enum LossCause {
     /// Its lease ended in silence.
     LeaseOver,
     /// The same, and its entry is gone.
@@ -144,7 +144,7 @@
     Restarted,
 }
 
-impl Loss {
+impl LossCause {
     /// The reason as logs and counters name it.
     pub fn name(self) -> &'static str {
         match self {
@@ -263,7 +263,7 @@
         &mut self,
         key: WorkerKey,
         lost: Vec<ConfirmedRun>,
-        loss: Loss,
+        loss: LossCause,
         exit_ms: u64,
     ) {
         let now_ms = self.now_ms;
@@ -284,7 +284,7 @@
     pub(super) fn note_replaced(&mut self, key: WorkerKey, exit_ms: u64) {
         let worker = self.worker(key);
         if worker.contact == Contact::Gone && !worker.lost.is_empty() {
-            self.note_lost(key, Vec::new(), Loss::Replaced, exit_ms);
+            self.note_lost(key, Vec::new(), LossCause::Replaced, exit_ms);
         }
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -10,7 +10,7 @@
     Decision,
     StopReason, //
 };
-use super::crashes::Loss;
+use super::crashes::LossCause;
 use super::state::Scheduler;
 use super::worker::CONCLUSIVE_MS;
 use super::{
@@ -182,7 +182,7 @@
                     self.retried(key, name, "no_answer");
                 }
             }
-            CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
+            CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             CallOutcome::Refused(refusal) => self.start_refused(key, name, refusal),
         }
@@ -295,7 +295,7 @@
                 run.conclusive_ms = Some(now_ms + stop_ms + CONCLUSIVE_MS);
                 worker.poll_at_ms = worker.poll_at_ms.min(now_ms + stop_ms);
             }
-            CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
+            CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.resend_ms = now_ms + RESEND_MS,
         }
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -214,7 +214,7 @@
 
     /// When its job earns what; run times are off by a fifth even when estimates
     /// fit.
-    pub fn terms(&self) -> JobObjective {
+    pub fn objective(&self) -> JobObjective {
         const SPREAD: f64 = 0.2;
         JobObjective {
             objective_ms: self.objective_ms,
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,4 +1,4 @@
-//! Room that patient work leaves free for urgent work to come.
+//! Headroom: capacity that non-urgent work leaves free for urgent work to come.
 //!
 //! Load pattern: urgent jobs come in bursts and have about a second to spare. Where
 //! a stop takes most of that second, room that has to be taken back from patient
@@ -51,9 +51,9 @@
     }
 }
 
-/// Accelerators that patient work may still take in a pass.
+/// Accelerators that non-urgent work may still take in a pass.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PatientRoom {
+pub struct NonUrgentCapacity {
     /// What is free beside the headroom and what waiting gangs need.
     free: u32,
     headroom: u32,
@@ -61,10 +61,10 @@
     in_any_case: u32,
 }
 
-impl PatientRoom {
+impl NonUrgentCapacity {
     /// How many tasks of so many accelerators it holds.
-    pub fn tasks(&self, accelerators: u32, patience: f64) -> u32 {
-        let headroom = (f64::from(self.headroom) * patience) as u32;
+    pub fn tasks(&self, accelerators: u32, slack_fraction: f64) -> u32 {
+        let headroom = (f64::from(self.headroom) * slack_fraction) as u32;
         let room = self.free.saturating_sub(headroom).max(self.in_any_case);
         room.checked_div(accelerators).unwrap_or(u32::MAX)
     }
@@ -82,8 +82,8 @@
 }
 
 impl Scheduler {
-    /// The room that patient work may take in this pass.
-    pub(super) fn room_for_patient(&mut self) -> PatientRoom {
+    /// The capacity that non-urgent work may take in this pass.
+    pub(super) fn non_urgent_capacity(&mut self) -> NonUrgentCapacity {
         let now_ms = self.now_ms;
         let (mut free, mut fleet, mut urgent) = (0, 0, 0);
         for worker in &self.workers {
@@ -98,17 +98,17 @@
         self.demand.note(now_ms, urgent);
         let headroom = self.demand.headroom(urgent, f64::from(fleet)) as u32;
         let used = fleet.saturating_sub(free);
-        PatientRoom {
+        NonUrgentCapacity {
             free,
             headroom,
             in_any_case: ((f64::from(fleet) * LEAST_USED) as u32).saturating_sub(used),
         }
     }
 
-    /// Whether a group leaves headroom.
-    pub(super) fn is_patient(&self, key: GroupKey) -> bool {
+    /// Whether a group is non-urgent and so leaves headroom.
+    pub(super) fn is_non_urgent(&self, key: GroupKey) -> bool {
         let group = &self.groups[&key];
-        self.tuning.order == OrderingPolicy::Worth
+        self.tuning.order == OrderingPolicy::Utility
             && self.jobs[&key.job].priority > 0
             && !group.step.long_running
     }
--- a/src/scheduler/id.rs
+++ b/src/scheduler/id.rs
@@ -29,7 +29,7 @@
 /// A text that names no task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not the name of a task; expected JOB.OCCURRENCE.STEP.INDEX")]
-pub struct NoTask;
+pub struct InvalidTaskId;
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -42,9 +42,9 @@
 }
 
 impl FromStr for TaskId {
-    type Err = NoTask;
+    type Err = InvalidTaskId;
 
-    fn from_str(text: &str) -> Result<Self, NoTask> {
+    fn from_str(text: &str) -> Result<Self, InvalidTaskId> {
         let mut parts = text.split('.');
         let job = parts
             .next()
@@ -58,7 +58,7 @@
                 step,
                 index,
             }),
-            _ => Err(NoTask),
+            _ => Err(InvalidTaskId),
         }
     }
 }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -322,7 +322,7 @@
 
 /// A job's worth against the mean of its queue: small jobs have a part of
 /// their own, and very large ones earn no more than four means.
-pub(super) fn worth_ratio(work: f64, mean_work: f64) -> f64 {
+pub(super) fn utility_ratio(work: f64, mean_work: f64) -> f64 {
     const FIXED_PART: f64 = 0.3;
     FIXED_PART + (1.0 - FIXED_PART) * (work / mean_work.max(1.0)).min(MAX_WORK_RATIO)
 }
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -8,7 +8,7 @@
     Action,
     Decision, //
 };
-use super::crashes::Loss;
+use super::crashes::LossCause;
 use super::state::Scheduler;
 use super::worker::{
     CloseState, //
@@ -91,7 +91,7 @@
         for other in others {
             let exit_ms = self.latest_exit_ms(other, next_start_ms);
             self.note_replaced(other, exit_ms);
-            self.worker_exited(other, Loss::Replaced, exit_ms);
+            self.worker_exited(other, LossCause::Replaced, exit_ms);
         }
     }
 
@@ -200,16 +200,16 @@
         }
         let listed = worker.listed;
         if !worker.runs.is_empty() {
-            self.lose_runs(key, Loss::LeaseOver, now_ms);
+            self.lose_runs(key, LossCause::LeaseOver, now_ms);
         }
         if !listed {
-            self.worker_gone(key, Loss::Left);
+            self.worker_gone(key, LossCause::Left);
         }
     }
 
     /// Whatever ran on a worker is lost: by `exit_ms` the worker had exited or its lease
     /// had ended.
-    fn lose_runs(&mut self, key: WorkerKey, loss: Loss, exit_ms: u64) {
+    fn lose_runs(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         let names: Vec<RunName> = self.worker(key).runs.keys().copied().collect();
         let confirmed = self.confirmed_runs_with_expected_end(key);
         if self.worker(key).close_state != CloseState::Open {
@@ -231,7 +231,7 @@
 
     /// Logs a lost run: whether its worker responded after its start tells a task
     /// that crashes its workers from one that was beside it.
-    fn tell_run_lost(&mut self, key: WorkerKey, name: RunName, loss: Loss, exit_ms: u64) {
+    fn tell_run_lost(&mut self, key: WorkerKey, name: RunName, loss: LossCause, exit_ms: u64) {
         let worker = self.worker(key);
         let Some(run) = worker.runs.get(&name) else {
             return;
@@ -249,12 +249,12 @@
     }
 
     /// The worker's incarnation is over.
-    pub(super) fn worker_gone(&mut self, key: WorkerKey, loss: Loss) {
+    pub(super) fn worker_gone(&mut self, key: WorkerKey, loss: LossCause) {
         self.worker_exited(key, loss, self.now_ms);
     }
 
     /// The worker's incarnation is over, and ended no later than `exit_ms`.
-    pub(super) fn worker_exited(&mut self, key: WorkerKey, loss: Loss, exit_ms: u64) {
+    pub(super) fn worker_exited(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         if self.worker(key).contact == Contact::Gone {
             return;
         }
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -6,7 +6,7 @@
 //! first to what earns most for the room and time that it still takes. Limits:
 //! work that can no longer earn anything comes last, but comes.
 
-use super::job::worth_ratio;
+use super::job::utility_ratio;
 use super::state::Scheduler;
 use super::{
     Group,
@@ -18,11 +18,11 @@
     HashSet, //
 };
 
-/// Worth of a job by the priority of its queue; the configuration does not
+/// Utility of a job by the priority of its queue; the configuration does not
 /// tell it, and the order of priorities is what operators do tell.
-const WORTH_BY_PRIORITY: [f64; 3] = [4.0, 3.0, 1.0];
-/// Worth of a job of any lower priority.
-const LEAST_WORTH: f64 = 0.5;
+const UTILITY_BY_PRIORITY: [f64; 3] = [4.0, 3.0, 1.0];
+/// Utility of a job of any lower priority.
+const LEAST_UTILITY: f64 = 0.5;
 /// Part of its worth that late work earns, about as far as operators say.
 pub(super) const LATE_PART: f64 = 0.25;
 /// Work that earns nothing any more still has an order.
@@ -33,25 +33,24 @@
 /// The policy that orders waiting work within a tier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderingPolicy {
-    /// What it earns for each unit of work; urgent work may take room back.
-    Worth,
-    /// When it became ready; nothing is taken back or left free. A baseline for
-    /// replays.
-    FirstCome,
-    /// How long a task takes; nothing is taken back or left free. A baseline for
-    /// replays.
-    Shortest,
+    /// By utility for each unit of work; urgent work may preempt.
+    Utility,
+    /// In the order in which work became ready, without preemption or headroom. A
+    /// baseline for replays.
+    FirstComeFirstServed,
+    /// Shortest task first, without preemption or headroom. A baseline for replays.
+    ShortestFirst,
 }
 
 /// Which work is offered room first, whatever it earns.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Tier {
     /// Work that has to run all the time.
-    Lasting,
+    LongRunning,
     /// Urgent work within its account's guarantee.
     Guaranteed,
     /// All other work.
-    Earning,
+    Other,
 }
 
 /// The deadline of a job and how much it is worth before and after.
@@ -75,9 +74,9 @@
         on_time * (1.0 - LATE_PART) + not_over * LATE_PART
     }
 
-    /// How much of its patience a job that takes so long has left, from 1 to 0 at
-    /// the last moment at which it earns as much by beginning.
-    pub fn patience(&self, now_ms: u64, run_ms: u64) -> f64 {
+    /// The part of its slack that a job that takes so long has left, from 1 to 0 at the
+    /// last moment at which it can begin without losing utility.
+    pub fn slack_fraction(&self, now_ms: u64, run_ms: u64) -> f64 {
         let last_ms = self.objective_ms + (LATE_FACTOR - 1) * self.objective_length_ms;
         let end_ms = now_ms + run_ms;
         let by_ms = if end_ms <= self.objective_ms {
@@ -95,13 +94,13 @@
     }
 }
 
-/// What a job still earns, and what it still costs.
+/// The utility that a job may still have, and the work that it still takes.
 #[derive(Clone, Copy, Debug)]
-pub struct Prospect {
-    /// Worth of a job of its queue.
-    pub worth: f64,
+pub struct UtilityEstimate {
+    /// Utility of a job of its queue.
+    pub utility: f64,
     /// The job's work against its queue's mean.
-    pub worth_ratio: f64,
+    pub utility_ratio: f64,
     /// Work left, in thousandths of a core times milliseconds.
     pub work_left: f64,
     /// Time that it takes from now, if it starts now.
@@ -112,7 +111,7 @@
     pub objective_length_ms: u64,
 }
 
-impl Prospect {
+impl UtilityEstimate {
     /// What it earns for each unit of work, if it starts at `now_ms`.
     pub fn density(&self, now_ms: u64) -> f64 {
         let end_ms = now_ms + self.chain_left_ms;
@@ -124,7 +123,7 @@
         } else {
             HOPELESS_PART
         };
-        self.worth * self.worth_ratio * part / self.work_left.max(1.0)
+        self.utility * self.utility_ratio * part / self.work_left.max(1.0)
     }
 }
 
@@ -140,10 +139,10 @@
     pub density: f64,
 }
 
-/// Worth of a job by priority.
-pub fn worth_of(priority: u32) -> f64 {
-    let known = WORTH_BY_PRIORITY.get(priority as usize);
-    known.copied().unwrap_or(LEAST_WORTH)
+/// Utility of a job by the priority of its queue.
+pub fn utility_of_priority(priority: u32) -> f64 {
+    let known = UTILITY_BY_PRIORITY.get(priority as usize);
+    known.copied().unwrap_or(LEAST_UTILITY)
 }
 
 impl Scheduler {
@@ -164,38 +163,39 @@
         ranked
     }
 
-    /// Worth of a job that is on time.
-    pub(super) fn worth_of_job(&self, id: JobId) -> f64 {
+    /// Utility of a job that is on time.
+    pub(super) fn utility_of_job(&self, id: JobId) -> f64 {
         let job = &self.jobs[&id];
-        worth_of(job.priority) * worth_ratio(job.work, self.mean_work(&job.record.queue))
+        utility_of_priority(job.priority)
+            * utility_ratio(job.work, self.mean_work(&job.record.queue))
     }
 
-    /// What the fleet's work earns on average, for each thousandth of a core and
-    /// millisecond, by the jobs seen so far.
-    pub(super) fn price_of_work(&self) -> f64 {
-        let (mut worth, mut work) = (0.0, 0.0);
+    /// Mean utility of the fleet's work for each thousandth of a core and millisecond,
+    /// by the jobs seen so far.
+    pub(super) fn mean_utility_of_work(&self) -> f64 {
+        let (mut utility, mut work) = (0.0, 0.0);
         for (name, history) in &self.history {
             let priority = self
                 .terms
                 .get(name)
                 .map_or(u32::MAX, |known| known.terms.priority);
-            worth += history.jobs * worth_of(priority);
+            utility += history.jobs * utility_of_priority(priority);
             work += history.jobs * history.mean_work;
         }
-        if work > 0.0 { worth / work } else { 0.0 }
+        if work > 0.0 { utility / work } else { 0.0 }
     }
 
     fn rank(&self, group: &Group) -> Ranked {
         let job = &self.jobs[&group.key.job];
-        let baseline = self.tuning.order != OrderingPolicy::Worth;
+        let baseline = self.tuning.order != OrderingPolicy::Utility;
         let tier = if group.step.long_running {
-            Tier::Lasting
+            Tier::LongRunning
         } else if baseline {
-            Tier::Earning
+            Tier::Other
         } else if self.guaranteed.contains(&job.id) {
             Tier::Guaranteed
         } else {
-            Tier::Earning
+            Tier::Other
         };
         let mut work_left = 0.0;
         for step in 0..job.steps.len() as u32 {
@@ -204,18 +204,18 @@
                 work_left += left * other.step.needs.weight() as f64 * other.run_time.value();
             }
         }
-        let prospect = Prospect {
-            worth: worth_of(job.priority),
-            worth_ratio: worth_ratio(job.work, self.mean_work(&job.record.queue)),
+        let utility_estimate = UtilityEstimate {
+            utility: utility_of_priority(job.priority),
+            utility_ratio: utility_ratio(job.work, self.mean_work(&job.record.queue)),
             work_left,
             chain_left_ms: group.run_ms(),
             objective_ms: group.objective_ms,
             objective_length_ms: group.objective_length_ms,
         };
         let density = match self.tuning.order {
-            OrderingPolicy::Worth => prospect.density(self.now_ms),
-            OrderingPolicy::FirstCome => -(group.released_ms as f64),
-            OrderingPolicy::Shortest => -(group.run_ms() as f64),
+            OrderingPolicy::Utility => utility_estimate.density(self.now_ms),
+            OrderingPolicy::FirstComeFirstServed => -(group.released_ms as f64),
+            OrderingPolicy::ShortestFirst => -(group.run_ms() as f64),
         };
         Ranked {
             key: group.key,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -49,10 +49,10 @@
     pub runs: u32,
     /// Accelerators free on its rack.
     pub rack_free: u32,
-    /// Room kept for gangs that wait.
-    pub kept: Resources,
-    /// From when on that room is used; 0 for none kept.
-    pub kept_from_ms: u64,
+    /// Capacity reserved for gangs that wait.
+    pub reserved: Resources,
+    /// From when on the reserved capacity is used; 0 for none reserved.
+    pub reserved_from_ms: u64,
 }
 
 /// A request to place a number of like tasks.
@@ -100,10 +100,10 @@
     /// How many tasks a candidate takes: room that is kept for others only if they
     /// end before it is used.
     pub fn fit(&self, candidate: &CandidateWorker) -> u32 {
-        let free = match candidate.kept_from_ms {
+        let free = match candidate.reserved_from_ms {
             0 => candidate.free,
             from_ms if self.end_ms <= from_ms => candidate.free,
-            _ => candidate.free.minus(&candidate.kept),
+            _ => candidate.free.minus(&candidate.reserved),
         };
         let fit = free.times(&self.resources).min(self.count);
         if fit == 0 {
--- a/src/scheduler/poll_report.rs
+++ b/src/scheduler/poll_report.rs
@@ -1,7 +1,7 @@
 //! Handling the results of polls.
 
 use super::action::StopReason;
-use super::crashes::Loss;
+use super::crashes::LossCause;
 use super::state::Scheduler;
 use super::worker::{
     CONCLUSIVE_MS,
@@ -101,7 +101,7 @@
         let wait_ms = FAILED_POLL_MS << (worker.failed_polls - 1).min(2);
         worker.poll_at_ms = now_ms + wait_ms.min(MAX_FAILED_POLL_MS);
         match judged {
-            CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
+            CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             _ if worker.contact == Contact::Answering => {
                 worker.contact = Contact::Silent;
@@ -246,7 +246,7 @@
         run.throttle_in_flight = false;
         match judged {
             CallOutcome::Done => {}
-            CallOutcome::OtherIncarnation => self.worker_gone(key, Loss::OtherIncarnation),
+            CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             // Unknown: the next review sends the pace again.
             CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.throttle_percent = u32::MAX,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -73,7 +73,7 @@
 }
 
 /// The room of a candidate as more and more of its runs are taken away.
-struct Yielding {
+struct ReclaimableRuns {
     candidate: usize,
     worker: WorkerKey,
     free: Resources,
@@ -83,7 +83,7 @@
     victims: Vec<Victim>,
 }
 
-impl Yielding {
+impl ReclaimableRuns {
     /// The cheapest victims until one more task fits.
     fn next(&self) -> Option<Slot> {
         if self.left == 0 {
@@ -209,8 +209,8 @@
         let slowest = slots.map(|at| candidates[at].slowness).fold(0.0, f64::max);
         let run_ms = (group.run_time.value() * slowest) as u64;
         let end_ms = self.now_ms + self.tuning.stop_ms + run_ms;
-        let part = group.terms().part_at(end_ms) - LATE_PART;
-        let net = self.worth_of_job(ranked.key.job) * part - loss_of(&chosen);
+        let part = group.objective().part_at(end_ms) - LATE_PART;
+        let net = self.utility_of_job(ranked.key.job) * part - loss_of(&chosen);
         (net > 0.0 || ranked.tier == Tier::Guaranteed).then_some(chosen)
     }
 
@@ -272,11 +272,11 @@
         region: &[usize],
         count: usize,
     ) -> Option<Vec<Choice>> {
-        let mut yielding: Vec<Yielding> = region
+        let mut reclaimable: Vec<ReclaimableRuns> = region
             .iter()
-            .map(|&at| self.yielding(ranked, request, candidates, at))
+            .map(|&at| self.reclaimable(ranked, request, candidates, at))
             .collect();
-        let mut next: Vec<Option<Slot>> = yielding.iter().map(Yielding::next).collect();
+        let mut next: Vec<Option<Slot>> = reclaimable.iter().map(ReclaimableRuns::next).collect();
         let mut chosen = Vec::with_capacity(count);
         let mut ended: HashSet<GroupKey> = HashSet::new();
         while chosen.len() < count {
@@ -285,34 +285,34 @@
                 .filter_map(|(at, slot)| slot.as_ref().map(|slot| (at, slot.loss)))
                 .min_by(|a, b| a.1.total_cmp(&b.1))?;
             let slot = next[at].take()?;
-            yielding[at].take(&slot);
+            reclaimable[at].take(&slot);
             for gang in slot.victims.iter().filter_map(|victim| victim.gang) {
                 if !ended.insert(gang) {
                     continue;
                 }
-                for (other, yielding) in yielding.iter_mut().enumerate() {
-                    if yielding.end_gang(gang) {
-                        next[other] = yielding.next();
+                for (other, reclaimable) in reclaimable.iter_mut().enumerate() {
+                    if reclaimable.end_gang(gang) {
+                        next[other] = reclaimable.next();
                     }
                 }
             }
-            next[at] = yielding[at].next();
+            next[at] = reclaimable[at].next();
             chosen.push(Choice {
-                candidate: yielding[at].candidate,
-                worker: yielding[at].worker,
+                candidate: reclaimable[at].candidate,
+                worker: reclaimable[at].worker,
                 slot,
             });
         }
         Some(chosen)
     }
 
-    fn yielding(
+    fn reclaimable(
         &self,
         ranked: Ranked,
         request: &PlacementRequest<'_>,
         candidates: &[CandidateWorker],
         at: usize,
-    ) -> Yielding {
+    ) -> ReclaimableRuns {
         let candidate = &candidates[at];
         let worker = self.worker(candidate.worker);
         let soon_ms = self.now_ms + self.tuning.stop_ms;
@@ -335,7 +335,7 @@
                 victims.push(victim);
             }
         }
-        let mut yielding = Yielding {
+        let mut reclaimable = ReclaimableRuns {
             candidate: at,
             worker: candidate.worker,
             free,
@@ -343,8 +343,8 @@
             left: (request.allowed)(candidate.worker).min(request.count),
             victims,
         };
-        yielding.sort();
-        yielding
+        reclaimable.sort();
+        reclaimable
     }
 
     /// A run as a victim; `None` if it may not be taken.
@@ -375,7 +375,8 @@
                 .sum(),
             _ => self.work_lost(run),
         };
-        let loss = loss * self.price_of_work() + group.map_or(0.0, |group| self.lateness(group));
+        let loss =
+            loss * self.mean_utility_of_work() + group.map_or(0.0, |group| self.lateness(group));
         let again = 1 + group.map_or(0, |group| group.preempted);
         Some(Victim {
             loss: loss * f64::from(again),
@@ -397,13 +398,13 @@
             true => end_ms + waits_ms,
             false => self.now_ms + waits_ms + group.run_ms(),
         };
-        let terms = group.terms();
+        let terms = group.objective();
         let share = match group.step.gang {
             true => 1.0,
             false => 1.0 / group.tasks.len() as f64,
         };
         let lost = terms.part_at(end_ms) - terms.part_at(anew_ms);
-        self.worth_of_job(group.key.job) * lost.max(0.0) * share
+        self.utility_of_job(group.key.job) * lost.max(0.0) * share
     }
 
     /// Work that is lost if a run is stopped now, in thousandths of a core times
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -27,7 +27,7 @@
 };
 
 /// Gangs for which room is kept at a time.
-pub(super) const KEPT_GANGS: u32 = 5;
+pub(super) const RESERVING_GANGS: u32 = 5;
 /// Room that is free later than this is not kept: about two run times.
 const HORIZON_MS: u64 = 15_000;
 
@@ -56,7 +56,7 @@
 
 impl Scheduler {
     /// Keeps room for a gang that found none; whether there is any to keep.
-    pub(super) fn keep_room_for(
+    pub(super) fn reserve_for(
         &self,
         key: GroupKey,
         queue: &QueueTerms,
@@ -77,8 +77,8 @@
         }
         for slot in chosen {
             let candidate = &mut candidates[slot.candidate];
-            candidate.kept = candidate.kept.plus(&group.resources);
-            candidate.kept_from_ms = match candidate.kept_from_ms {
+            candidate.reserved = candidate.reserved.plus(&group.resources);
+            candidate.reserved_from_ms = match candidate.reserved_from_ms {
                 0 => from_ms,
                 before => before.min(from_ms),
             };
@@ -131,7 +131,7 @@
         let by_gang = &mut ends.by_gang;
         let by_seat = ends.by_seat.entry(at);
         let ends = by_seat.or_insert_with(|| self.ends_on(candidate.worker, by_gang));
-        let mut free = candidate.free.minus(&candidate.kept);
+        let mut free = candidate.free.minus(&candidate.reserved);
         let (mut at_ms, mut ends) = (self.now_ms, ends.iter());
         for _ in 0..most {
             while !free.holds(&request.resources) {
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -14,7 +14,7 @@
 };
 use super::reservation::{
     ExpectedEnds,
-    KEPT_GANGS, //
+    RESERVING_GANGS, //
 };
 use super::state::Scheduler;
 use super::{
@@ -57,7 +57,7 @@
 
 /// What a pass has kept for gangs that wait.
 #[derive(Debug, Default)]
-struct KeptRoom {
+struct Reservations {
     gangs: u32,
     ends: ExpectedEnds,
 }
@@ -75,32 +75,40 @@
         self.note_entries_unread();
         let mut candidates = self.candidates();
         let mut misses = Misses::default();
-        let mut kept = KeptRoom::default();
-        let mut patient_room = self.room_for_patient();
+        let mut reservations = Reservations::default();
+        let mut non_urgent_capacity = self.non_urgent_capacity();
         let mut starts = 0;
         for ranked in self.ranked() {
             if starts >= MAX_STARTS {
                 self.changed = true;
                 break;
             }
-            let patient = self.is_patient(ranked.key);
+            let patient = self.is_non_urgent(ranked.key);
             let room = self.groups[&ranked.key].resources.accelerators;
             let limit = match patient {
-                true => patient_room.tasks(room, self.patience(ranked.key)),
+                true => non_urgent_capacity.tasks(room, self.slack_fraction(ranked.key)),
                 false => u32::MAX,
             };
-            let started = self.offer(ranked, limit, &mut candidates, &mut misses, &mut kept);
+            let started = self.offer(
+                ranked,
+                limit,
+                &mut candidates,
+                &mut misses,
+                &mut reservations,
+            );
             if patient {
-                patient_room.take(started as u32 * room);
-                patient_room.leave(self.waiting_gang(ranked.key) * room);
+                non_urgent_capacity.take(started as u32 * room);
+                non_urgent_capacity.leave(self.waiting_gang(ranked.key) * room);
             }
             starts += started;
         }
     }
 
-    fn patience(&self, key: GroupKey) -> f64 {
+    fn slack_fraction(&self, key: GroupKey) -> f64 {
         let group = &self.groups[&key];
-        group.terms().patience(self.now_ms, group.run_ms())
+        group
+            .objective()
+            .slack_fraction(self.now_ms, group.run_ms())
     }
 
     /// Members of a gang that waits; 0 for other groups.
@@ -131,8 +139,8 @@
                 fills: worker.runs.values().any(|run| run.fills),
                 runs: worker.runs.len() as u32,
                 rack_free: rack_free.get(worker.rack()).copied().unwrap_or(0),
-                kept: Resources::default(),
-                kept_from_ms: 0,
+                reserved: Resources::default(),
+                reserved_from_ms: 0,
             })
             .collect()
     }
@@ -143,7 +151,7 @@
         limit: u32,
         candidates: &mut [CandidateWorker],
         misses: &mut Misses,
-        kept: &mut KeptRoom,
+        reservations: &mut Reservations,
     ) -> usize {
         let key = ranked.key;
         if !self.is_crash_stored(key) {
@@ -181,21 +189,21 @@
         let complete = placed == group.waiting;
         let started = self.start_placements(key, &placements, candidates);
         if started > 0 {
-            kept.ends.forget();
+            reservations.ends.forget();
         }
         if !complete {
             if plain && !limited {
                 misses.needs.push(self.groups[&key].resources);
             }
             if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, candidates) {
-                kept.ends.forget();
+                reservations.ends.forget();
                 return started;
             }
             if self.groups[&key].step.gang
-                && kept.gangs < KEPT_GANGS
-                && self.keep_room_for(key, &queue, candidates, &mut kept.ends)
+                && reservations.gangs < RESERVING_GANGS
+                && self.reserve_for(key, &queue, candidates, &mut reservations.ends)
             {
-                kept.gangs += 1;
+                reservations.gangs += 1;
             }
         }
         started
@@ -424,7 +432,7 @@
     pub(super) fn may_preempt(&self, ranked: &Ranked) -> bool {
         let job = &self.jobs[&ranked.key.job];
         let group = &self.groups[&ranked.key];
-        if self.tuning.order != OrderingPolicy::Worth {
+        if self.tuning.order != OrderingPolicy::Utility {
             return false;
         }
         let on_time = self.now_ms + group.run_ms() <= group.objective_ms;
--- a/src/scheduler/tuning.rs
+++ b/src/scheduler/tuning.rs
@@ -77,7 +77,7 @@
             remote_factor: 3.0,
             restore_ms: 600,
             checkpoint_ms: 2_000,
-            order: OrderingPolicy::Worth,
+            order: OrderingPolicy::Utility,
             orders_max_age_ms: u64::MAX,
             entries_max_age_ms: u64::MAX,
             upkeep_ms: 2_000,
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -20,7 +20,7 @@
 //! incarnations apart.
 
 use super::action::Decision;
-use super::crashes::Loss;
+use super::crashes::LossCause;
 use super::state::Scheduler;
 use super::worker::CloseState;
 use super::{
@@ -163,7 +163,7 @@
         }
         self.fence_late_starts(key);
         let exit_ms = self.latest_exit_ms(old, Some(incarnation_start_ms));
-        self.worker_exited(old, Loss::Restarted, exit_ms);
+        self.worker_exited(old, LossCause::Restarted, exit_ms);
         key
     }
 
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -45,10 +45,10 @@
 #[test]
 fn no_load_makes_a_task_run_twice_or_repeats_with_other_figures() {
     for load in &LOADS {
-        let first = replay(load, OrderingPolicy::Worth, SEEDS[0]);
+        let first = replay(load, OrderingPolicy::Utility, SEEDS[0]);
         assert_eq!(first.twice, 0, "{}", load.name);
     }
-    let again = |_| format!("{:?}", replay(&LOADS[1], OrderingPolicy::Worth, SEEDS[0]));
+    let again = |_| format!("{:?}", replay(&LOADS[1], OrderingPolicy::Utility, SEEDS[0]));
     assert_eq!(again(1), again(2));
 }
 
@@ -57,16 +57,19 @@
 #[test]
 fn a_burst_of_urgent_work_earns_more_than_under_the_baselines() {
     let worst = |order| mean("burst_urgent", order, |run| run.worst_windows);
-    let product = worst(OrderingPolicy::Worth);
+    let product = worst(OrderingPolicy::Utility);
 
-    assert!(product > worst(OrderingPolicy::FirstCome), "{product}");
-    assert!(product > worst(OrderingPolicy::Shortest), "{product}");
+    assert!(
+        product > worst(OrderingPolicy::FirstComeFirstServed),
+        "{product}"
+    );
+    assert!(product > worst(OrderingPolicy::ShortestFirst), "{product}");
 }
 
 #[test]
 fn urgent_work_begins_in_time_in_a_burst() {
     for seed in SEEDS {
-        let run = replay(load("burst_urgent"), OrderingPolicy::Worth, seed);
+        let run = replay(load("burst_urgent"), OrderingPolicy::Utility, seed);
         assert!(run.reclaim_p99_ms <= RECLAIM_MS, "seed {seed}: {run:?}");
     }
 }
@@ -77,7 +80,7 @@
     // though they were late in any case: 2,382 ms at p99, where the plan asks that
     // urgent work starts within 1.5 s.
     const PLANNED_MS: u64 = 1_500;
-    let runs = FOUR_SEEDS.map(|seed| replay(load("full"), OrderingPolicy::Worth, seed));
+    let runs = FOUR_SEEDS.map(|seed| replay(load("full"), OrderingPolicy::Utility, seed));
 
     let sum_ms: u64 = runs.iter().map(|run| run.reclaim_p99_ms).sum();
     let mean_ms = sum_ms / runs.len() as u64;
@@ -90,7 +93,7 @@
     // work, when gangs wait for most while lent room is in use. What is not
     // started there has to find room elsewhere, guaranteed work first.
     for seed in FOUR_SEEDS {
-        let run = replay(load("emptied"), OrderingPolicy::Worth, seed);
+        let run = replay(load("emptied"), OrderingPolicy::Utility, seed);
 
         let order = run.order.expect("a moment with waiting gangs");
         assert!(order.moment.waiting_gang_accelerators > 0, "{order:?}");
@@ -108,7 +111,7 @@
 fn guarantees_and_worth_hold_with_the_room_that_an_order_leaves() {
     // The same order. Room that is counted though it may not be used, or taken
     // back where it is of no use, makes guaranteed work wait and throws work away.
-    let runs = FOUR_SEEDS.map(|seed| replay(load("emptied"), OrderingPolicy::Worth, seed));
+    let runs = FOUR_SEEDS.map(|seed| replay(load("emptied"), OrderingPolicy::Utility, seed));
 
     for (seed, run) in FOUR_SEEDS.iter().zip(&runs) {
         let wait_ms = run.guaranteed_wait_ms;
@@ -120,7 +123,7 @@
 
 /// A load of heavy tasks, workers at three speeds and slow stops, on all seeds.
 fn heavy(name: &str) -> [Figures; 4] {
-    FOUR_SEEDS.map(|seed| replay(load(name), OrderingPolicy::Worth, seed))
+    FOUR_SEEDS.map(|seed| replay(load(name), OrderingPolicy::Utility, seed))
 }
 
 fn mean_of(runs: &[Figures], of: fn(&Figures) -> f64) -> f64 {
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -156,7 +156,7 @@
 /// Replays the first `until_ms` of a load, and times its decisions from half of that
 /// time on.
 pub fn decision_times(load: &Load, seed: u64, until_ms: u64) -> DecisionTimes {
-    let mut replay = Replay::begin(load, OrderingPolicy::Worth, seed);
+    let mut replay = Replay::begin(load, OrderingPolicy::Utility, seed);
     replay.play_to(load, until_ms / 2, |_, _| {});
     replay.decisions = Some(Vec::new());
     replay.play_to(load, until_ms, |_, _| {});
--- a/tests/support/replay/emptying.rs
+++ b/tests/support/replay/emptying.rs
@@ -109,7 +109,7 @@
 /// of the load without an order. The same for every rule of order, so that the
 /// figures of the rules compare.
 pub fn worst_moment(load: &Load, seed: u64) -> Option<Moment> {
-    let mut replay = Replay::begin(load, OrderingPolicy::Worth, seed);
+    let mut replay = Replay::begin(load, OrderingPolicy::Utility, seed);
     let mut worst: Option<Moment> = None;
     replay.play(load, |replay, since_ms| {
         if !moments_ms().contains(&since_ms) {
