--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -72,7 +72,7 @@
 /// The balancer and the peers learn of the drain within this time.
 const DRAIN_NOTICE_MS: u64 = 1_000;
 
-/// A process of fuchsiaslip: entry, candidate owner and worker monitor.
+/// A process of fuchsiaslip: entry, candidate owner and keeper.
 #[derive(FromArgs)]
 #[argh(
     name = "fuchsiaslipd",
