--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -1,9 +1,9 @@
 //! Committing what the ledger holds, and telling the scheduler what is stored.
 
-use super::ledger::Batch;
 use super::node::Node;
-use super::services::{
-    Committed,
+use super::pending_writes::Batch;
+use super::store_types::{
+    CommitResult,
     StoreError, //
 };
 use crate::scheduler::Input;
@@ -18,40 +18,44 @@
 /// Commits what waits, for as long as this daemon owns under `epoch`.
 pub async fn run(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
-        let Some(batch) = node.ledger.batch(node.root_revision()) else {
-            node.ledger.changed().await;
-            node.timer.after(GATHER_MS).await;
+        let Some(batch) = node.pending_writes.batch(node.root_revision()) else {
+            node.pending_writes.changed().await;
+            node.timer.sleep(GATHER_MS).await;
             continue;
         };
         let sent_ms = node.now_ms();
         let commit = node.store.commit(&batch.transaction);
-        let outcome = node.asking_store(commit).await;
+        let outcome = node.call_store(commit).await;
         if node.epoch() != epoch {
             return;
         }
         let took_ms = (node.now_ms() - sent_ms) as f64;
         metrics::histogram!("fuchsiaslip_commit_ms").record(took_ms);
         match outcome {
-            Ok(Committed::Done { revision }) => {
-                node.ledger.committed(&batch, revision);
-                node.control.take(epoch, Input::Confirmed(sent_ms));
+            Ok(CommitResult::Done { revision }) => {
+                node.pending_writes.committed(&batch, revision);
+                node.control
+                    .send_input(epoch, Input::EpochConfirmed(sent_ms));
                 tell_stored(&node, epoch, batch);
-                node.timer.after(GATHER_MS).await;
+                node.timer.sleep(GATHER_MS).await;
             }
-            Ok(Committed::Conflict(items)) => {
-                if !node.ledger.conflicted(&batch, &items, node.root_revision()) {
+            Ok(CommitResult::Conflict(items)) => {
+                if !node
+                    .pending_writes
+                    .conflicted(&batch, &items, node.root_revision())
+                {
                     node.stop_owning("commit_conflict");
                     return;
                 }
                 count_retry("commit_conflict");
             }
-            Ok(Committed::LeaseOver) => {}
+            Ok(CommitResult::LeaseOver) => {}
             Err(error) => {
                 count_retry(match error {
                     StoreError::Refused => "store_refused",
                     StoreError::NoAnswer => "store_silent",
                 });
-                node.timer.after(RETRY_MS).await;
+                node.timer.sleep(RETRY_MS).await;
             }
         }
     }
@@ -60,22 +64,23 @@
 /// Tells the scheduler what it may rely on from now on.
 fn tell_stored(node: &Node, epoch: u64, batch: Batch) {
     for (job, change) in batch.progress {
-        node.control.take(epoch, Input::Stored { job, change });
+        node.control
+            .send_input(epoch, Input::ProgressStored { job, change });
     }
     for (worker_name, record) in batch.closed {
         if let Some(closed) = record.map(|record| record.closed) {
-            let input = Input::ClosedStored {
+            let input = Input::ClosedWorkerStored {
                 worker_name,
                 closed,
             };
-            node.control.take(epoch, input);
+            node.control.send_input(epoch, input);
         }
     }
-    for job in batch.forgotten {
-        node.control.take(epoch, Input::Forgotten(job));
+    for job in batch.deleted_jobs {
+        node.control.send_input(epoch, Input::JobDeleted(job));
     }
     if let Some(workers) = batch.roster {
-        node.control.take(epoch, Input::RosterStored(workers));
+        node.control.send_input(epoch, Input::RosterStored(workers));
     }
 }
 
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -2,7 +2,7 @@
 
 use super::commits;
 use super::emptying;
-use super::follow;
+use super::invalid_values::StoredKind;
 use super::node::{
     KnownOwner,
     Node, //
@@ -20,12 +20,13 @@
     decode_root,
     encode, //
 };
-use super::services::{
-    Committed,
+use super::store_types::{
+    CommitResult,
     StoreError,
     Transaction, //
 };
-use super::stored_news::{
+use super::store_watch;
+use super::stored_inputs::{
     closed_records,
     closed_workers,
     emptied_records,
@@ -34,8 +35,7 @@
     wave_inputs,
     worker_inputs, //
 };
-use super::unread_jobs;
-use super::unused::StoredKind;
+use super::unreadable_jobs;
 use crate::events;
 use crate::platform::{
     EMPTYING_PREFIX,
@@ -71,22 +71,25 @@
         None => RootRecord::default(),
         Some(item) => {
             let read = decode_root(&item.value);
-            let Some(known) = node.used(StoredKind::Root, &item, read) else {
+            let Some(known) = node.valid_value(StoredKind::Root, &item, read) else {
                 // Taken for none, it would be followed by the first epoch, whose
                 // orders every worker refuses, and two owners could share it.
-                node.timer.after(UNREAD_ROOT_MS).await;
+                node.timer.sleep(UNREAD_ROOT_MS).await;
                 return Ok(());
             };
             known
         }
     };
-    if follow::learn_root(node, &known) && !node.is_over(&known.owner, known.boot) {
+    if store_watch::learn_root(node, &known) && !node.is_incarnation_over(&known.owner, known.boot)
+    {
         // Somebody took over just now: wait for its heartbeats.
         return Ok(());
     }
     // A daemon that was restarted ended its earlier life; a peer is heard with the
     // life that it has now.
-    let earlier = known.not_over(began_ms, |owner, boot| node.is_over(owner, boot));
+    let earlier = known.not_over(began_ms, |owner, boot| {
+        node.is_incarnation_over(owner, boot)
+    });
     let earlier_owner_over = earlier.is_empty();
     let next = RootRecord {
         epoch: known.epoch + 1,
@@ -101,8 +104,8 @@
         ..Transaction::default()
     };
     let taken = match node.store.commit(&transaction).await {
-        Ok(Committed::Done { revision }) => Some(revision),
-        Ok(Committed::Conflict(_) | Committed::LeaseOver) => None,
+        Ok(CommitResult::Done { revision }) => Some(revision),
+        Ok(CommitResult::Conflict(_) | CommitResult::LeaseOver) => None,
         Err(StoreError::Refused) => return Err(StoreError::Refused),
         // It may have been carried out: the root tells.
         Err(StoreError::NoAnswer) => {
@@ -137,7 +140,7 @@
         if begun.is_ok() || is_followed(node, taken.epoch) {
             break;
         }
-        node.timer.after(BEGIN_AGAIN_MS).await;
+        node.timer.sleep(BEGIN_AGAIN_MS).await;
         begun = begin(node, &taken).await;
     }
     if let Err(error) = &begun {
@@ -170,7 +173,7 @@
 async fn begin(node: &Rc<Node>, taken: &Taken) -> Result<(), StoreError> {
     let (epoch, began_ms) = (taken.epoch, taken.began_ms);
     if node.doubts_configuration() {
-        actix_rt::spawn(follow::refresh_configuration(node.clone()));
+        actix_rt::spawn(store_watch::refresh_configuration(node.clone()));
     }
     let asked_ms = node.now_ms();
     let (jobs, progress, roster, closed, workers, waves, states, orders, emptied) = tokio::try_join!(
@@ -190,14 +193,14 @@
         // depose, so this daemon would go on owning beside it.
         return Err(StoreError::Refused);
     }
-    node.ledger.clear();
+    node.pending_writes.clear();
     node.begin_owning(epoch, taken.root_revision);
     let mut stored = vec![Input::Configure(node.configuration())];
     let mut roster_count = 0;
     if let Some(item) = roster {
-        node.ledger.note_revision(ROSTER_KEY, item.revision);
+        node.pending_writes.note_revision(ROSTER_KEY, item.revision);
         let read = decode::<Vec<RosterRow>>(&item.value);
-        let rows = node.used(StoredKind::Roster, &item, read);
+        let rows = node.valid_value(StoredKind::Roster, &item, read);
         let records = closed_records(node, &closed);
         match rows {
             Some(rows) => {
@@ -205,7 +208,7 @@
                 stored.extend(known_workers(node, rows, records));
             }
             None => {
-                stored.push(Input::RosterUnread);
+                stored.push(Input::RosterUnreadable);
                 stored.extend(closed_workers(records));
             }
         }
@@ -214,14 +217,15 @@
     stored.push(Input::EntriesRead { sent_ms: asked_ms });
     stored.extend(job_inputs(node, &jobs, &progress));
     for item in &states.items {
-        node.ledger.note_revision(&item.key, item.revision);
+        node.pending_writes.note_revision(&item.key, item.revision);
     }
     stored.extend(wave_inputs(node, &waves, &states));
     stored.push(emptying::input(node));
     let found = emptied_records(node, &emptied);
-    node.ledger.note_emptied(found, &node.emptying().in_force());
-    stored.push(Input::Confirmed(began_ms));
-    stored.push(Input::Recovered {
+    node.pending_writes
+        .note_emptied(found, &node.emptying().in_force());
+    stored.push(Input::EpochConfirmed(began_ms));
+    stored.push(Input::StoredStateRead {
         earlier_owner_over: taken.earlier_owner_over,
     });
     let (job_count, worker_count) = (jobs.items.len(), workers.items.len());
@@ -241,10 +245,10 @@
     );
     metrics::counter!("fuchsiaslip_takeovers_total", "reason" => taken.reason).increment(1);
     actix_rt::spawn(commits::run(node.clone(), epoch));
-    actix_rt::spawn(follow::waves(node.clone(), epoch));
-    actix_rt::spawn(follow::jobs(node.clone(), epoch, jobs.revision));
-    actix_rt::spawn(follow::workers(node.clone(), epoch, workers));
-    actix_rt::spawn(unread_jobs::read_again(node.clone(), epoch));
+    actix_rt::spawn(store_watch::waves(node.clone(), epoch));
+    actix_rt::spawn(store_watch::jobs(node.clone(), epoch, jobs.revision));
+    actix_rt::spawn(store_watch::workers(node.clone(), epoch, workers));
+    actix_rt::spawn(unreadable_jobs::read_again(node.clone(), epoch));
     actix_rt::spawn(confirm(node.clone(), epoch));
     Ok(())
 }
@@ -253,18 +257,19 @@
 async fn confirm(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
         let sent_ms = node.now_ms();
-        let root = node.asking_store(node.store.get(ROOT_KEY)).await;
+        let root = node.call_store(node.store.get(ROOT_KEY)).await;
         if node.epoch() != epoch {
             return;
         }
         match root {
             Ok(Some(item)) if item.revision == node.root_revision() => {
-                node.control.take(epoch, Input::Confirmed(sent_ms));
-                node.timer.after(CONFIRM_MS).await;
+                node.control
+                    .send_input(epoch, Input::EpochConfirmed(sent_ms));
+                node.timer.sleep(CONFIRM_MS).await;
             }
             Ok(_) => return node.stop_owning("root_changed"),
             Err(_) => {
-                node.timer.after(CONFIRM_AGAIN_MS).await;
+                node.timer.sleep(CONFIRM_AGAIN_MS).await;
             }
         }
     }
--- a/src/cluster/ledger.rs
+++ b/src/cluster/pending_writes.rs
@@ -1,5 +1,5 @@
-//! What waits to be stored of what the scheduler notes, and the transactions that
-//! carry it; [`super::commits`] sends them.
+//! The writes that wait to be stored, and the transactions that
+//! carry them; [`super::commits`] sends them.
 //!
 //! Every value has one writer, the owner, and each write is conditional on the
 //! root's revision and on the value's own last revision. A transaction whose
@@ -21,7 +21,7 @@
     job_key,
     progress_key, //
 };
-use super::services::{
+use super::store_types::{
     MAX_TRANSACTION_ENTRIES,
     StoredItem,
     Transaction, //
@@ -66,7 +66,7 @@
     /// Data centres that get no new tasks; `None` for those that get them again.
     pub emptied: Vec<(String, Option<EmptiedRecord>)>,
     /// Jobs of which nothing is to be kept.
-    pub forgotten: Vec<JobId>,
+    pub deleted_jobs: Vec<JobId>,
 }
 
 /// Values that a job has in the store.
@@ -86,13 +86,13 @@
     emptied: BTreeMap<String, Option<EmptiedRecord>>,
     /// What an earlier owner stored of data centres.
     found_emptied: HashMap<String, EmptiedRecord>,
-    forgotten: Vec<JobId>,
+    deleted_jobs: Vec<JobId>,
     revisions: HashMap<String, u64>,
 }
 
 /// What waits to be stored.
 #[derive(Default)]
-pub struct Ledger {
+pub struct PendingWrites {
     pending: RefCell<Pending>,
     added: Notify,
 }
@@ -110,7 +110,7 @@
     waves: Vec<(u64, bool)>,
     emptied: Vec<(String, Option<EmptiedRecord>)>,
     /// Jobs whose values it removes.
-    pub forgotten: Vec<JobId>,
+    pub deleted_jobs: Vec<JobId>,
 }
 
 impl Batch {
@@ -125,7 +125,7 @@
             closed: Vec::new(),
             waves: Vec::new(),
             emptied: Vec::new(),
-            forgotten: Vec::new(),
+            deleted_jobs: Vec::new(),
         }
     }
 
@@ -144,7 +144,7 @@
     }
 }
 
-impl Ledger {
+impl PendingWrites {
     /// Forgets everything: another daemon owns.
     pub fn clear(&self) {
         *self.pending.borrow_mut() = Pending::default();
@@ -180,7 +180,7 @@
             && changes.closed.is_empty()
             && changes.waves.is_empty()
             && changes.emptied.is_empty()
-            && changes.forgotten.is_empty();
+            && changes.deleted_jobs.is_empty();
         if empty {
             return;
         }
@@ -201,7 +201,7 @@
                 pending.emptied.insert(data_centre, record);
             }
         }
-        pending.forgotten.extend(changes.forgotten);
+        pending.deleted_jobs.extend(changes.deleted_jobs);
         self.added.notify_one();
     }
 
@@ -245,8 +245,8 @@
             batch.emptied.push((data_centre.clone(), record.clone()));
         }
         // Nobody waits for what is forgotten: it takes the room that is left.
-        for &job in pending.forgotten.iter().take(batch.room(REMOVED_KEYS)) {
-            batch.forgotten.push(job);
+        for &job in pending.deleted_jobs.iter().take(batch.room(REMOVED_KEYS)) {
+            batch.deleted_jobs.push(job);
             batch.transaction.removed.extend(keys_of(job));
         }
         let transaction = &batch.transaction;
@@ -297,8 +297,8 @@
                 pending.waves.remove(wave);
             }
         }
-        for &job in &batch.forgotten {
-            pending.forgotten.retain(|&other| other != job);
+        for &job in &batch.deleted_jobs {
+            pending.deleted_jobs.retain(|&other| other != job);
             for key in keys_of(job) {
                 pending.revisions.remove(&key);
             }
--- a/src/cluster/store_probe.rs
+++ b/src/cluster/store_probe.rs
@@ -16,7 +16,7 @@
     loop {
         let daemons = node.other_count() as u64;
         let wait_ms = PROBE_MS.max(daemons * PROBE_PER_DAEMON_MS);
-        node.timer.after(wait_ms).await;
+        node.timer.sleep(wait_ms).await;
         if !node.is_store_overdue() {
             continue;
         }
@@ -25,7 +25,7 @@
             metrics::counter!("fuchsiaslip_store_probes_total").increment(1);
             // Without an answer nothing is learnt that is not known.
             if node.store.probe(PROBE_LIMIT_MS).await.is_ok() {
-                node.store_went(true);
+                node.record_store_outcome(true);
             }
         });
     }
--- a/src/cluster/unread_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -5,6 +5,7 @@
 //! would make a job without its progress. A job whose record somebody removed is
 //! taken for cancelled.
 
+use super::invalid_values::StoredKind;
 use super::node::Node;
 use super::records::{
     decode_job_record,
@@ -12,8 +13,7 @@
     job_key,
     progress_key, //
 };
-use super::services::StoreError;
-use super::unused::StoredKind;
+use super::store_types::StoreError;
 use crate::core::JobId;
 use crate::scheduler::Input;
 use std::rc::Rc;
@@ -29,11 +29,11 @@
 pub async fn read_again(node: Rc<Node>, epoch: u64) {
     let mut from = JobId(0);
     loop {
-        node.timer.after(AGAIN_MS).await;
+        node.timer.sleep(AGAIN_MS).await;
         if node.epoch() != epoch {
             return;
         }
-        let jobs = node.unread_jobs(from, MOST_A_ROUND);
+        let jobs = node.unreadable_jobs(from, MOST_A_ROUND);
         from = match jobs.last() {
             Some(last) if jobs.len() == MOST_A_ROUND => JobId(last.0.saturating_add(1)),
             _ => JobId(0),
@@ -42,8 +42,8 @@
             // A store that does not answer is asked again in the next round.
             match read(&node, job).await {
                 Ok(Some(input)) if node.epoch() == epoch => {
-                    node.job_read(job);
-                    node.control.take(epoch, input);
+                    node.job_readable(job);
+                    node.control.send_input(epoch, input);
                 }
                 _ => {}
             }
@@ -55,21 +55,22 @@
 async fn read(node: &Node, job: JobId) -> Result<Option<Input>, StoreError> {
     let progress = node.store.get(&progress_key(job)).await?;
     let Some(item) = node.store.get(&job_key(job)).await? else {
-        return Ok(Some(Input::Cancelled(job)));
+        return Ok(Some(Input::JobCancelled(job)));
     };
-    let record = node.used(StoredKind::Job, &item, decode_job_record(&item.value));
+    let record = node.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
     let noted = match progress {
         None => Some(None),
         Some(item) => {
-            node.ledger.note_revision(&item.key, item.revision);
+            node.pending_writes.note_revision(&item.key, item.revision);
             let read = decode_progress(&item.value);
-            node.used(StoredKind::Progress, &item, read).map(Some)
+            node.valid_value(StoredKind::Progress, &item, read)
+                .map(Some)
         }
     };
     let (Some(record), Some(progress)) = (record, noted) else {
         return Ok(None);
     };
-    Ok(Some(Input::JobRead {
+    Ok(Some(Input::JobReadable {
         id: job,
         record: Arc::new(record),
         progress,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: entry, candidate owner and keeper in one process.
+//! The daemon: entry, candidate owner and worker monitor in one process.
 
 mod answer;
 mod auth;
@@ -6,7 +6,6 @@
 mod control;
 mod directory;
 mod entry;
-mod keeper;
 mod kill;
 mod patch;
 mod peer;
@@ -15,12 +14,13 @@
 mod status;
 mod traffic;
 mod watch;
+mod worker_monitor;
 
 pub use auth::{
     Caller,
     token_digest, //
 };
-pub use directory::home_of;
+pub use directory::home_data_centre;
 pub use patch::{
     PatchOutcome,
     check,
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -12,8 +12,8 @@
     Action,
     Decision, //
 };
+use super::freshness::Freshness;
 use super::state::Scheduler;
-use super::view::View;
 use super::worker::Contact;
 use super::{
     Resources,
@@ -45,7 +45,7 @@
 pub(super) struct Emptying {
     in_force: BTreeMap<String, InForce>,
     /// All orders that were acknowledged until then are known.
-    view: View,
+    view: Freshness,
     /// Data centres that were given back and got no start since, with when.
     unused: BTreeMap<String, u64>,
 }
@@ -68,9 +68,9 @@
 
     /// Takes in all orders in force, as the store showed them when it was asked
     /// at `checked_ms` or later.
-    pub(super) fn take_emptying(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
+    pub(super) fn handle_emptying_orders(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
         // Waiting work is offered room again as soon as that may be done.
-        let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_view_ms);
+        let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_max_age_ms);
         self.changed |= self.emptying.view.note(checked_ms, now_ms, bound_ms);
         let mut before = std::mem::take(&mut self.emptying.in_force);
         let (mut new, mut given_anew) = (Vec::new(), Vec::new());
@@ -153,7 +153,7 @@
 
     fn store_emptied(&mut self, data_centre: &str) {
         let order = self.emptying.in_force.get(data_centre);
-        self.actions.push(Action::StoreEmptied {
+        self.actions.push(Action::StoreEmptiedDataCentre {
             data_centre: data_centre.into(),
             revision: order.map(|order| order.revision),
         });
@@ -194,13 +194,13 @@
     /// be kept. Without this, an owner whose questions for orders alone are not
     /// answered would start tasks in a data centre long after its order.
     pub(super) fn knows_orders(&self) -> bool {
-        let bound_ms = self.tuning.orders_view_ms;
+        let bound_ms = self.tuning.orders_max_age_ms;
         self.emptying.view.is_fresh(self.now_ms, bound_ms)
     }
 
     /// Tells once that nothing starts since the orders were not read for too long.
     pub(super) fn note_orders_unread(&mut self) {
-        let bound_ms = self.tuning.orders_view_ms;
+        let bound_ms = self.tuning.orders_max_age_ms;
         if let Some(known_ago_ms) = self.emptying.view.untold_age_ms(self.now_ms, bound_ms) {
             self.decided(Decision::OrdersUnread { known_ago_ms });
         }
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -1,12 +1,12 @@
 //! The tasks of one step of one occurrence.
 
 use super::{
-    Belief,
     CrashedRun,
+    JobObjective, //
+    LogEstimate,
     Resources,
     StepSpec,
     TaskId,
-    Terms, //
 };
 use crate::core::{
     JobId,
@@ -143,8 +143,8 @@
     pub key: GroupKey,
     /// The step.
     pub step: Arc<StepSpec>,
-    /// What each task takes.
-    pub room: Resources,
+    /// The resources that each task takes.
+    pub resources: Resources,
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// How many are waiting.
@@ -158,7 +158,7 @@
     /// The length of the objective.
     pub objective_length_ms: u64,
     /// The logarithm of a task's run time on a usual worker, in milliseconds.
-    pub run_time: Belief,
+    pub run_time: LogEstimate,
     /// It was taken in for later estimates of its queue.
     pub run_time_noted: bool,
     /// The run of the gang that is on workers.
@@ -166,7 +166,7 @@
     /// That run is being given up.
     pub gang_ending: bool,
     /// An earlier owner may have started tasks where this one cannot look.
-    pub blind: bool,
+    pub recovering: bool,
     /// The change of its job with the last crash at the start of one of its tasks; 0
     /// for none.
     pub crash_change: u64,
@@ -184,7 +184,7 @@
 impl Group {
     /// Whether a pass has something to place.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        if self.waiting == 0 || now_ms < self.released_ms || self.blind {
+        if self.waiting == 0 || now_ms < self.released_ms || self.recovering {
             return false;
         }
         // A gang starts with all members, so all have to be without a run.
@@ -214,9 +214,9 @@
 
     /// When its job earns what; run times are off by a fifth even when estimates
     /// fit.
-    pub fn terms(&self) -> Terms {
+    pub fn objective(&self) -> JobObjective {
         const SPREAD: f64 = 0.2;
-        Terms {
+        JobObjective {
             objective_ms: self.objective_ms,
             objective_length_ms: self.objective_length_ms,
             spread_ms: SPREAD * self.run_time.value(),
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -6,12 +6,12 @@
     JobFailure,
     StopReason, //
 };
-use super::progress::{
+use super::job_progress::{
     FinalState,
     GroupProgress, //
 };
+use super::queue_terms::priority_under;
 use super::state::Scheduler;
-use super::terms::priority_under;
 use super::{
     Action,
     GroupKey,
@@ -74,7 +74,7 @@
 
 /// What a caller may be told of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum JobView {
+pub enum JobStatus {
     /// No task has begun.
     Queued,
     /// A task has begun.
@@ -94,13 +94,13 @@
     }
 
     /// What its caller may be told: an end only once it is durable.
-    pub fn view(&self) -> JobView {
+    pub fn status(&self) -> JobStatus {
         match self.ended {
-            _ if self.cancelled => JobView::Cancelled,
-            Some(FinalState::Completed) if self.stored >= self.change => JobView::Completed,
-            Some(FinalState::Failed) if self.stored >= self.change => JobView::Failed,
-            _ if self.started => JobView::Running,
-            _ => JobView::Queued,
+            _ if self.cancelled => JobStatus::Cancelled,
+            Some(FinalState::Completed) if self.stored >= self.change => JobStatus::Completed,
+            Some(FinalState::Failed) if self.stored >= self.change => JobStatus::Failed,
+            _ if self.started => JobStatus::Running,
+            _ => JobStatus::Queued,
         }
     }
 
@@ -117,7 +117,7 @@
 
 impl Scheduler {
     /// Takes in a stored job; one that is known stays as it is.
-    pub(super) fn take_job(
+    pub(super) fn handle_job_stored(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
@@ -125,7 +125,7 @@
     ) {
         // A job that is being forgotten is read again as long as it is stored,
         // without what was noted of it; taken for a new one it would run again.
-        if self.jobs.contains_key(&id) || self.leaving_jobs.contains_key(&id) {
+        if self.jobs.contains_key(&id) || self.deleting_jobs.contains_key(&id) {
             return;
         }
         let terms = self.terms_of(&record);
@@ -143,7 +143,7 @@
             priority: priority_under(terms.as_ref()),
             terms,
             known_ms: self.now_ms,
-            known_earlier: self.is_blind() || self.is_unread(id),
+            known_earlier: self.is_recovering() || self.is_unreadable(id),
             cancelled: false,
             ended: progress.ended,
             ended_ms: self.now_ms,
@@ -253,12 +253,12 @@
         let job = self.job_mut(id);
         job.change += 1;
         let change = job.change;
-        self.actions.push(Action::Store { job: id });
+        self.actions.push(Action::StoreProgress { job: id });
         change
     }
 
     /// Everything up to `change` of a job is durable.
-    pub(super) fn stored(&mut self, id: JobId, change: u64) {
+    pub(super) fn handle_progress_stored(&mut self, id: JobId, change: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -300,8 +300,8 @@
     }
 
     /// What a caller may be told of a job.
-    pub fn job_view(&self, id: JobId) -> Option<JobView> {
-        self.jobs.get(&id).map(GraphJob::view)
+    pub fn job_status(&self, id: JobId) -> Option<JobStatus> {
+        self.jobs.get(&id).map(GraphJob::status)
     }
 
     /// Accepted jobs of a queue of which no task has begun.
@@ -322,7 +322,7 @@
 
 /// A job's worth against the mean of its queue: small jobs have a part of
 /// their own, and very large ones earn no more than four means.
-pub(super) fn worth_ratio(work: f64, mean_work: f64) -> f64 {
+pub(super) fn utility_ratio(work: f64, mean_work: f64) -> f64 {
     const FIXED_PART: f64 = 0.3;
     FIXED_PART + (1.0 - FIXED_PART) * (work / mean_work.max(1.0)).min(MAX_WORK_RATIO)
 }
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -8,11 +8,11 @@
     Action,
     Decision, //
 };
-use super::crashes::Loss;
+use super::crashes::LossCause;
 use super::state::Scheduler;
 use super::worker::{
+    CloseState, //
     Contact,
-    Intake, //
 };
 use super::{
     ClosedRuns,
@@ -40,7 +40,7 @@
         .collect()
     }
 
-    pub(super) fn take_worker(&mut self, info: WorkerInfo) {
+    pub(super) fn handle_worker_registered(&mut self, info: WorkerInfo) {
         let known = self.worker_index.get(&info.worker_name).copied();
         let key = known.unwrap_or_else(|| self.add_worker(info.clone()));
         let emptied = self.emptying.names(&info.data_centre);
@@ -53,7 +53,7 @@
             self.vacant.retain(|&(_, vacant)| vacant != key);
         }
         let unknown = !self.worker(key).on_roster;
-        if unknown && self.roster_unread {
+        if unknown && self.roster_unreadable {
             self.join_unread_roster(key);
         } else if unknown && !self.roster_asked {
             self.roster_asked = true;
@@ -85,13 +85,13 @@
             .into_iter()
             .flatten()
             .copied()
-            .filter(|&other| other != key && self.worker(other).dispute.is_none())
+            .filter(|&other| other != key && self.worker(other).address_conflict.is_none())
             .collect();
         let next_start_ms = self.worker(key).incarnation_start_ms;
         for other in others {
             let exit_ms = self.latest_exit_ms(other, next_start_ms);
             self.note_replaced(other, exit_ms);
-            self.worker_exited(other, Loss::Replaced, exit_ms);
+            self.worker_exited(other, LossCause::Replaced, exit_ms);
         }
     }
 
@@ -131,11 +131,11 @@
         Some(key)
     }
 
-    pub(super) fn take_known_worker(
+    pub(super) fn handle_roster_worker(
         &mut self,
         worker_name: String,
         address: String,
-        closed_with: Option<ClosedRuns>,
+        closed_runs: Option<ClosedRuns>,
     ) {
         let known = self.worker_index.get(&worker_name).copied();
         let key = known.unwrap_or_else(|| {
@@ -146,26 +146,26 @@
             })
         });
         self.worker_mut(key).on_roster = true;
-        if let Some(runs) = closed_with {
+        if let Some(runs) = closed_runs {
             self.take_closed(key, runs);
         }
     }
 
-    pub(super) fn worker_unlisted(&mut self, name: &str) {
+    pub(super) fn handle_worker_unlisted(&mut self, name: &str) {
         if let Some(&key) = self.worker_index.get(name) {
             self.worker_mut(key).listed = false;
             self.changed = true;
         }
     }
 
-    pub(super) fn roster_stored(&mut self, names: &[String]) {
+    pub(super) fn handle_roster_stored(&mut self, names: &[String]) {
         for worker_name in names {
             let Some(&key) = self.worker_index.get(worker_name) else {
                 continue;
             };
             let worker = self.worker_mut(key);
             worker.on_roster = worker.contact != Contact::Gone;
-            self.look_if_due(key);
+            self.poll_if_due(key);
         }
         self.roster_asked = self
             .workers
@@ -180,7 +180,7 @@
     /// After the end of the longest lease nothing runs there any more. A
     /// worker that is not listed either has left: the roster forgets it, or it
     /// would hold up the next owner, who could not reach it.
-    pub(super) fn review_lapse(&mut self, key: WorkerKey) {
+    pub(super) fn review_lease_expiry(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let worker = self.worker(key);
         let silent = matches!(worker.contact, Contact::Silent | Contact::Unfenced);
@@ -193,28 +193,28 @@
         let lapsed_ms = match (empty || never_used, worker.lease_end_ms) {
             (true, _) => Some(0),
             (false, 0) => Some(self.earlier_leases_over_ms),
-            (false, _) => worker.lapsed_at_ms(),
+            (false, _) => worker.leases_expired_ms(),
         };
         if !silent || lapsed_ms.is_none_or(|lapsed_ms| now_ms < lapsed_ms) {
             return;
         }
         let listed = worker.listed;
         if !worker.runs.is_empty() {
-            self.lose_runs(key, Loss::LeaseOver, now_ms);
+            self.lose_runs(key, LossCause::LeaseOver, now_ms);
         }
         if !listed {
-            self.worker_gone(key, Loss::Left);
+            self.worker_gone(key, LossCause::Left);
         }
     }
 
     /// Whatever ran on a worker is lost: by `exit_ms` the worker had exited or its lease
     /// had ended.
-    fn lose_runs(&mut self, key: WorkerKey, loss: Loss, exit_ms: u64) {
+    fn lose_runs(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         let names: Vec<RunName> = self.worker(key).runs.keys().copied().collect();
         let confirmed = self.confirmed_runs_with_expected_end(key);
-        if self.worker(key).intake != Intake::Open {
+        if self.worker(key).close_state != CloseState::Open {
             // The store named these runs.
-            self.actions.push(Action::StoreClosed { worker: key });
+            self.actions.push(Action::StoreClosedWorker { worker: key });
         }
         let worker = self.worker(key).name();
         self.decided(Decision::WorkerLost {
@@ -231,7 +231,7 @@
 
     /// Logs a lost run: whether its worker responded after its start tells a task
     /// that crashes its workers from one that was beside it.
-    fn tell_run_lost(&mut self, key: WorkerKey, name: RunName, loss: Loss, exit_ms: u64) {
+    fn tell_run_lost(&mut self, key: WorkerKey, name: RunName, loss: LossCause, exit_ms: u64) {
         let worker = self.worker(key);
         let Some(run) = worker.runs.get(&name) else {
             return;
@@ -249,12 +249,12 @@
     }
 
     /// The worker's incarnation is over.
-    pub(super) fn worker_gone(&mut self, key: WorkerKey, loss: Loss) {
+    pub(super) fn worker_gone(&mut self, key: WorkerKey, loss: LossCause) {
         self.worker_exited(key, loss, self.now_ms);
     }
 
     /// The worker's incarnation is over, and ended no later than `exit_ms`.
-    pub(super) fn worker_exited(&mut self, key: WorkerKey, loss: Loss, exit_ms: u64) {
+    pub(super) fn worker_exited(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         if self.worker(key).contact == Contact::Gone {
             return;
         }
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preemption.rs
@@ -12,14 +12,14 @@
 //! asks again only after its victims had time to stop.
 
 use super::action::StopReason;
-use super::order::{
+use super::ordering::{
     LATE_PART,
     Ranked,
     Tier, //
 };
 use super::placement::{
-    Ask,
-    Seat, //
+    CandidateWorker, //
+    PlacementRequest,
 };
 use super::state::Scheduler;
 use super::{
@@ -46,18 +46,18 @@
     /// Worth that is lost with it, its whole gang included.
     loss: f64,
     name: RunName,
-    room: Resources,
+    resources: Resources,
     /// Its gang, which ends with it.
     gang: Option<GroupKey>,
 }
 
 impl Victim {
     fn price(&self) -> f64 {
-        self.loss / f64::from(self.room.accelerators.max(1))
+        self.loss / f64::from(self.resources.accelerators.max(1))
     }
 }
 
-/// What it takes to place one more task on a seat.
+/// What it takes to place one more task on a candidate.
 #[derive(Clone, Debug, Default)]
 struct Slot {
     loss: f64,
@@ -67,23 +67,23 @@
 /// A slot that was chosen.
 #[derive(Clone, Debug)]
 struct Choice {
-    seat: usize,
+    candidate: usize,
     worker: WorkerKey,
     slot: Slot,
 }
 
-/// The room of a seat as more and more of its runs are taken away.
-struct Yielding {
-    seat: usize,
+/// The room of a candidate as more and more of its runs are taken away.
+struct ReclaimableRuns {
+    candidate: usize,
     worker: WorkerKey,
     free: Resources,
-    room: Resources,
+    resources: Resources,
     left: u32,
     /// The one that costs least for the accelerators it gives comes first.
     victims: Vec<Victim>,
 }
 
-impl Yielding {
+impl ReclaimableRuns {
     /// The cheapest victims until one more task fits.
     fn next(&self) -> Option<Slot> {
         if self.left == 0 {
@@ -92,15 +92,15 @@
         let mut slot = Slot::default();
         let mut free = self.free;
         let mut victims = self.victims.iter();
-        while !free.holds(&self.room) {
+        while !free.holds(&self.resources) {
             let victim = victims.next()?;
-            free = free.plus(&victim.room);
+            free = free.plus(&victim.resources);
             slot.victims.push(*victim);
         }
         // Small ones that were taken first may be needless beside a large one.
         for at in (0..slot.victims.len()).rev() {
-            let without = free.minus(&slot.victims[at].room);
-            if without.holds(&self.room) {
+            let without = free.minus(&slot.victims[at].resources);
+            if without.holds(&self.resources) {
                 free = without;
                 slot.victims.remove(at);
             }
@@ -111,10 +111,10 @@
 
     fn take(&mut self, slot: &Slot) {
         for victim in &slot.victims {
-            self.free = self.free.plus(&victim.room);
+            self.free = self.free.plus(&victim.resources);
             self.victims.retain(|other| other.name != victim.name);
         }
-        self.free = self.free.minus(&self.room);
+        self.free = self.free.minus(&self.resources);
         self.left -= 1;
     }
 
@@ -145,21 +145,26 @@
         &mut self,
         ranked: Ranked,
         queue: &QueueTerms,
-        seats: &mut [Seat],
+        candidates: &mut [CandidateWorker],
     ) -> bool {
         if self.now_ms < self.groups[&ranked.key].preempt_at_ms {
-            self.keep_claims(ranked.key, seats);
+            self.keep_claims(ranked.key, candidates);
             return true;
         }
-        let Some(chosen) = self.worth_taking(ranked, queue, seats) else {
+        let Some(chosen) = self.worth_taking(ranked, queue, candidates) else {
             return false;
         };
-        let room = self.groups[&ranked.key].room;
+        let resources = self.groups[&ranked.key].resources;
         let settle_ms = self.now_ms + self.tuning.settle_ms();
         let mut stops = Vec::new();
         let mut claims: BTreeMap<WorkerKey, u32> = BTreeMap::new();
-        for Choice { seat, worker, slot } in chosen {
-            seats[seat].free = seats[seat].free.minus(&room);
+        for Choice {
+            candidate,
+            worker,
+            slot,
+        } in chosen
+        {
+            candidates[candidate].free = candidates[candidate].free.minus(&resources);
             *claims.entry(worker).or_default() += 1;
             stops.extend(slot.victims.iter().map(|victim| (worker, victim.name)));
         }
@@ -193,30 +198,33 @@
         &self,
         ranked: Ranked,
         queue: &QueueTerms,
-        seats: &[Seat],
+        candidates: &[CandidateWorker],
     ) -> Option<Vec<Choice>> {
         let group = &self.groups[&ranked.key];
         let count = group.waiting as usize;
-        let chosen = self.with_ask(group, queue, &[], |ask| {
-            self.cheapest(ranked, ask, seats, count)
+        let chosen = self.with_request(group, queue, &[], |request| {
+            self.cheapest(ranked, request, candidates, count)
         })?;
-        let slots = chosen.iter().map(|choice| choice.seat);
-        let slowest = slots.map(|at| seats[at].slowness).fold(0.0, f64::max);
+        let slots = chosen.iter().map(|choice| choice.candidate);
+        let slowest = slots.map(|at| candidates[at].slowness).fold(0.0, f64::max);
         let run_ms = (group.run_time.value() * slowest) as u64;
         let end_ms = self.now_ms + self.tuning.stop_ms + run_ms;
-        let part = group.terms().part_at(end_ms) - LATE_PART;
-        let net = self.worth_of_job(ranked.key.job) * part - loss_of(&chosen);
+        let part = group.objective().part_at(end_ms) - LATE_PART;
+        let net = self.utility_of_job(ranked.key.job) * part - loss_of(&chosen);
         (net > 0.0 || ranked.tier == Tier::Guaranteed).then_some(chosen)
     }
 
     /// Keeps what is being freed for a group from the groups after it: its
     /// victims would take the freed room back, and be stopped again.
-    fn keep_claims(&self, key: GroupKey, seats: &mut [Seat]) {
+    fn keep_claims(&self, key: GroupKey, candidates: &mut [CandidateWorker]) {
         let group = &self.groups[&key];
         for &(worker, count) in &group.claims {
-            for seat in seats.iter_mut().filter(|seat| seat.worker == worker) {
+            for candidate in candidates
+                .iter_mut()
+                .filter(|candidate| candidate.worker == worker)
+            {
                 for _ in 0..count {
-                    seat.free = seat.free.minus(&group.room);
+                    candidate.free = candidate.free.minus(&group.resources);
                 }
             }
         }
@@ -227,44 +235,48 @@
     fn cheapest(
         &self,
         ranked: Ranked,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         count: usize,
     ) -> Option<Vec<Choice>> {
-        let all: Vec<usize> = (0..seats.len()).collect();
+        let all: Vec<usize> = (0..candidates.len()).collect();
         let mut regions: Vec<Vec<usize>> = Vec::new();
-        if ask.one_rack || !ask.data_rack.is_empty() {
-            let mut racks: Vec<&str> = seats.iter().map(|seat| &*seat.rack).collect();
+        if request.one_rack || !request.data_rack.is_empty() {
+            let mut racks: Vec<&str> = candidates
+                .iter()
+                .map(|candidate| &*candidate.rack)
+                .collect();
             racks.sort_unstable();
             racks.dedup();
-            racks.retain(|rack| ask.data_rack.is_empty() || *rack == ask.data_rack);
+            racks.retain(|rack| request.data_rack.is_empty() || *rack == request.data_rack);
             for rack in racks {
-                let there = |at: &usize| &*seats[*at].rack == rack;
+                let there = |at: &usize| &*candidates[*at].rack == rack;
                 regions.push(all.iter().copied().filter(there).collect());
             }
         }
         let on_racks = regions
             .iter()
-            .filter_map(|region| self.slots(ranked, ask, seats, region, count))
+            .filter_map(|region| self.slots(ranked, request, candidates, region, count))
             .min_by(|a, b| loss_of(a).total_cmp(&loss_of(b)));
         // Room elsewhere is of use only to work that may leave its rack.
-        let anywhere = regions.is_empty() || ask.may_leave_rack;
-        on_racks.or_else(|| anywhere.then(|| self.slots(ranked, ask, seats, &all, count))?)
+        let anywhere = regions.is_empty() || request.may_leave_rack;
+        on_racks
+            .or_else(|| anywhere.then(|| self.slots(ranked, request, candidates, &all, count))?)
     }
 
     fn slots(
         &self,
         ranked: Ranked,
-        ask: &Ask<'_>,
-        seats: &[Seat],
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
         region: &[usize],
         count: usize,
     ) -> Option<Vec<Choice>> {
-        let mut yielding: Vec<Yielding> = region
+        let mut reclaimable: Vec<ReclaimableRuns> = region
             .iter()
-            .map(|&at| self.yielding(ranked, ask, seats, at))
+            .map(|&at| self.reclaimable(ranked, request, candidates, at))
             .collect();
-        let mut next: Vec<Option<Slot>> = yielding.iter().map(Yielding::next).collect();
+        let mut next: Vec<Option<Slot>> = reclaimable.iter().map(ReclaimableRuns::next).collect();
         let mut chosen = Vec::with_capacity(count);
         let mut ended: HashSet<GroupKey> = HashSet::new();
         while chosen.len() < count {
@@ -273,30 +285,36 @@
                 .filter_map(|(at, slot)| slot.as_ref().map(|slot| (at, slot.loss)))
                 .min_by(|a, b| a.1.total_cmp(&b.1))?;
             let slot = next[at].take()?;
-            yielding[at].take(&slot);
+            reclaimable[at].take(&slot);
             for gang in slot.victims.iter().filter_map(|victim| victim.gang) {
                 if !ended.insert(gang) {
                     continue;
                 }
-                for (other, yielding) in yielding.iter_mut().enumerate() {
-                    if yielding.end_gang(gang) {
-                        next[other] = yielding.next();
+                for (other, reclaimable) in reclaimable.iter_mut().enumerate() {
+                    if reclaimable.end_gang(gang) {
+                        next[other] = reclaimable.next();
                     }
                 }
             }
-            next[at] = yielding[at].next();
+            next[at] = reclaimable[at].next();
             chosen.push(Choice {
-                seat: yielding[at].seat,
-                worker: yielding[at].worker,
+                candidate: reclaimable[at].candidate,
+                worker: reclaimable[at].worker,
                 slot,
             });
         }
         Some(chosen)
     }
 
-    fn yielding(&self, ranked: Ranked, ask: &Ask<'_>, seats: &[Seat], at: usize) -> Yielding {
-        let seat = &seats[at];
-        let worker = self.worker(seat.worker);
+    fn reclaimable(
+        &self,
+        ranked: Ranked,
+        request: &PlacementRequest<'_>,
+        candidates: &[CandidateWorker],
+        at: usize,
+    ) -> ReclaimableRuns {
+        let candidate = &candidates[at];
+        let worker = self.worker(candidate.worker);
         let soon_ms = self.now_ms + self.tuning.stop_ms;
         // What ends by itself before a stop would have ended it is waited for, but
         // once only: a run that takes longer than it should seems to end at once
@@ -305,34 +323,34 @@
         let waited = self.now_ms > released_ms + self.tuning.settle_ms();
         let ends_soon = |run: &Run| {
             let ending = matches!(run.phase, RunPhase::Stopping | RunPhase::Ending);
-            let end_ms = self.expected_end_ms(seat.worker, run);
+            let end_ms = self.expected_end_ms(candidate.worker, run);
             ending || (!waited && end_ms.is_some_and(|end_ms| end_ms <= soon_ms))
         };
-        let mut free = seat.free;
+        let mut free = candidate.free;
         let mut victims: Vec<Victim> = Vec::new();
         for (&name, run) in &worker.runs {
             if ends_soon(run) {
-                free = free.plus(&run.room);
+                free = free.plus(&run.resources);
             } else if let Some(victim) = self.victim(ranked, name, run) {
                 victims.push(victim);
             }
         }
-        let mut yielding = Yielding {
-            seat: at,
-            worker: seat.worker,
+        let mut reclaimable = ReclaimableRuns {
+            candidate: at,
+            worker: candidate.worker,
             free,
-            room: ask.room,
-            left: (ask.allowed)(seat.worker).min(ask.count),
+            resources: request.resources,
+            left: (request.allowed)(candidate.worker).min(request.count),
             victims,
         };
-        yielding.sort();
-        yielding
+        reclaimable.sort();
+        reclaimable
     }
 
     /// A run as a victim; `None` if it may not be taken.
     fn victim(&self, ranked: Ranked, name: RunName, run: &Run) -> Option<Victim> {
         let taken = matches!(run.phase, RunPhase::Starting | RunPhase::Running)
-            && !self.is_unread(name.task.job);
+            && !self.is_unreadable(name.task.job);
         if !taken || run.long_running || ranked.key.job == name.task.job {
             return None;
         }
@@ -346,7 +364,7 @@
             return None;
         }
         // Its other members may not be known yet.
-        if group.is_some_and(|group| group.step.gang && group.blind) {
+        if group.is_some_and(|group| group.step.gang && group.recovering) {
             return None;
         }
         let gang = group.filter(|group| group.step.gang);
@@ -357,12 +375,13 @@
                 .sum(),
             _ => self.work_lost(run),
         };
-        let loss = loss * self.price_of_work() + group.map_or(0.0, |group| self.lateness(group));
+        let loss =
+            loss * self.mean_utility_of_work() + group.map_or(0.0, |group| self.lateness(group));
         let again = 1 + group.map_or(0, |group| group.preempted);
         Some(Victim {
             loss: loss * f64::from(again),
             name,
-            room: run.room,
+            resources: run.resources,
             gang: gang.map(|group| group.key),
         })
     }
@@ -379,13 +398,13 @@
             true => end_ms + waits_ms,
             false => self.now_ms + waits_ms + group.run_ms(),
         };
-        let terms = group.terms();
+        let terms = group.objective();
         let share = match group.step.gang {
             true => 1.0,
             false => 1.0 / group.tasks.len() as f64,
         };
         let lost = terms.part_at(end_ms) - terms.part_at(anew_ms);
-        self.worth_of_job(group.key.job) * lost.max(0.0) * share
+        self.utility_of_job(group.key.job) * lost.max(0.0) * share
     }
 
     /// Work that is lost if a run is stopped now, in thousandths of a core times
@@ -394,7 +413,7 @@
     fn work_lost(&self, run: &Run) -> f64 {
         let group = self.groups.get(&run.group);
         let lost_ms = self.lost_ms(run, group) + self.tuning.stop_ms / 2;
-        run.room.weight() as f64 * lost_ms as f64
+        run.resources.weight() as f64 * lost_ms as f64
     }
 }
 
@@ -405,7 +424,7 @@
         let run = self.worker(key).runs.get(&name);
         let group = self.groups.get(&GroupKey::of(name.task));
         run.map_or(0.0, |run| {
-            run.room.weight() as f64 * self.lost_ms(run, group) as f64 / MILLI_CORE_MS
+            run.resources.weight() as f64 * self.lost_ms(run, group) as f64 / MILLI_CORE_MS
         })
     }
 
--- a/src/scheduler/ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -1,10 +1,10 @@
 //! Taking in the ends of runs.
 
+use super::acknowledgement::UnacknowledgedEnd;
 use super::action::{
     Decision,
     StopReason, //
 };
-use super::noting::HeardEnd;
 use super::state::Scheduler;
 use super::{
     EndKind,
@@ -30,13 +30,13 @@
         let waits_for = self.note_end(key, &row);
         // `Broken` and `Alone` can themselves result from the crash of another member's
         // worker.
-        if !matches!(row.kind, EndKind::Broken | EndKind::Alone) {
+        if !matches!(row.kind, EndKind::GangEnded | EndKind::GangIncomplete) {
             self.note_gang_ended(row.name);
         }
         self.run_gone(key, row.name);
-        let end = HeardEnd { row, waits_for };
-        self.worker_mut(key).unnoted.push_back(end);
-        self.with_unnoted.insert(key);
+        let end = UnacknowledgedEnd { row, waits_for };
+        self.worker_mut(key).unacknowledged_ends.push_back(end);
+        self.with_unacknowledged_ends.insert(key);
     }
 
     pub(super) fn keep_end_checkpoint(&mut self, row: &EndedRow) {
--- a/src/scheduler/pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,20 +1,20 @@
 //! One pass: waiting work is offered the room there is.
 
 use super::action::Action;
-use super::order::{
-    OrderRule,
+use super::ordering::{
+    OrderingPolicy,
     Ranked,
     Tier, //
 };
 use super::placement::{
-    Ask,
-    Placing,
-    Seat,
+    CandidateWorker,
+    Placement,
+    PlacementRequest,
     place, //
 };
-use super::reserve::{
+use super::reservation::{
     ExpectedEnds,
-    KEPT_GANGS, //
+    RESERVING_GANGS, //
 };
 use super::state::Scheduler;
 use super::{
@@ -57,7 +57,7 @@
 
 /// What a pass has kept for gangs that wait.
 #[derive(Debug, Default)]
-struct KeptRoom {
+struct Reservations {
     gangs: u32,
     ends: ExpectedEnds,
 }
@@ -73,34 +73,42 @@
             return;
         }
         self.note_entries_unread();
-        let mut seats = self.seats();
+        let mut candidates = self.candidates();
         let mut misses = Misses::default();
-        let mut kept = KeptRoom::default();
-        let mut patient_room = self.room_for_patient();
+        let mut reservations = Reservations::default();
+        let mut non_urgent_capacity = self.non_urgent_capacity();
         let mut starts = 0;
         for ranked in self.ranked() {
             if starts >= MAX_STARTS {
                 self.changed = true;
                 break;
             }
-            let patient = self.is_patient(ranked.key);
-            let room = self.groups[&ranked.key].room.accelerators;
+            let patient = self.is_non_urgent(ranked.key);
+            let room = self.groups[&ranked.key].resources.accelerators;
             let limit = match patient {
-                true => patient_room.tasks(room, self.patience(ranked.key)),
+                true => non_urgent_capacity.tasks(room, self.slack_fraction(ranked.key)),
                 false => u32::MAX,
             };
-            let started = self.offer(ranked, limit, &mut seats, &mut misses, &mut kept);
+            let started = self.offer(
+                ranked,
+                limit,
+                &mut candidates,
+                &mut misses,
+                &mut reservations,
+            );
             if patient {
-                patient_room.take(started as u32 * room);
-                patient_room.leave(self.waiting_gang(ranked.key) * room);
+                non_urgent_capacity.take(started as u32 * room);
+                non_urgent_capacity.leave(self.waiting_gang(ranked.key) * room);
             }
             starts += started;
         }
     }
 
-    fn patience(&self, key: GroupKey) -> f64 {
+    fn slack_fraction(&self, key: GroupKey) -> f64 {
         let group = &self.groups[&key];
-        group.terms().patience(self.now_ms, group.run_ms())
+        group
+            .objective()
+            .slack_fraction(self.now_ms, group.run_ms())
     }
 
     /// Members of a gang that waits; 0 for other groups.
@@ -110,7 +118,7 @@
     }
 
     /// Workers that take work, with their room.
-    fn seats(&self) -> Vec<Seat> {
+    fn candidates(&self) -> Vec<CandidateWorker> {
         let now_ms = self.now_ms;
         let takes = || {
             self.workers
@@ -122,7 +130,7 @@
             *rack_free.entry(worker.rack()).or_default() += worker.free().accelerators;
         }
         takes()
-            .map(|worker| Seat {
+            .map(|worker| CandidateWorker {
                 worker: worker.key,
                 free: worker.free(),
                 rack: worker.rack().clone(),
@@ -131,8 +139,8 @@
                 fills: worker.runs.values().any(|run| run.fills),
                 runs: worker.runs.len() as u32,
                 rack_free: rack_free.get(worker.rack()).copied().unwrap_or(0),
-                kept: Resources::default(),
-                kept_from_ms: 0,
+                reserved: Resources::default(),
+                reserved_from_ms: 0,
             })
             .collect()
     }
@@ -141,9 +149,9 @@
         &mut self,
         ranked: Ranked,
         limit: u32,
-        seats: &mut [Seat],
+        candidates: &mut [CandidateWorker],
         misses: &mut Misses,
-        kept: &mut KeptRoom,
+        reservations: &mut Reservations,
     ) -> usize {
         let key = ranked.key;
         if !self.is_crash_stored(key) {
@@ -160,54 +168,54 @@
             return 0;
         };
         let queue = known.terms.clone();
-        if plain && queue.advice.is_none() && misses.covers(&group.room) {
+        if plain && queue.advice.is_none() && misses.covers(&group.resources) {
             return 0;
         }
-        if !self.has_advice(key, &queue, seats) {
+        if !self.has_advice(key, &queue, candidates) {
             return 0;
         }
         let group = &self.groups[&key];
         let avoid: Vec<WorkerKey> = group.tasks.iter().filter_map(|task| task.avoid).collect();
         let limited = limit < group.waiting;
         let held_back = limit == 0 || (group.step.gang && limited);
-        let placings = match held_back {
+        let placements = match held_back {
             true => Vec::new(),
-            false => self.with_ask(group, &queue, &avoid, |ask| {
-                let count = ask.count.min(limit);
-                place(seats, &Ask { count, ..*ask })
+            false => self.with_request(group, &queue, &avoid, |request| {
+                let count = request.count.min(limit);
+                place(candidates, &PlacementRequest { count, ..*request })
             }),
         };
-        let placed: u32 = placings.iter().map(|placing| placing.count).sum();
+        let placed: u32 = placements.iter().map(|placement| placement.count).sum();
         let complete = placed == group.waiting;
-        let started = self.start_placings(key, &placings, seats);
+        let started = self.start_placements(key, &placements, candidates);
         if started > 0 {
-            kept.ends.forget();
+            reservations.ends.forget();
         }
         if !complete {
             if plain && !limited {
-                misses.needs.push(self.groups[&key].room);
+                misses.needs.push(self.groups[&key].resources);
             }
-            if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, seats) {
-                kept.ends.forget();
+            if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, candidates) {
+                reservations.ends.forget();
                 return started;
             }
             if self.groups[&key].step.gang
-                && kept.gangs < KEPT_GANGS
-                && self.keep_room_for(key, &queue, seats, &mut kept.ends)
+                && reservations.gangs < RESERVING_GANGS
+                && self.reserve_for(key, &queue, candidates, &mut reservations.ends)
             {
-                kept.gangs += 1;
+                reservations.gangs += 1;
             }
         }
         started
     }
 
     /// Calls `then` with what the waiting tasks of a group ask for.
-    pub(super) fn with_ask<T>(
+    pub(super) fn with_request<T>(
         &self,
         group: &Group,
         queue: &QueueTerms,
         avoid: &[WorkerKey],
-        then: impl FnOnce(&Ask<'_>) -> T,
+        then: impl FnOnce(&PlacementRequest<'_>) -> T,
     ) -> T {
         let step = &group.step;
         let mut there: HashMap<WorkerKey, u32> = HashMap::new();
@@ -248,8 +256,8 @@
                 most => most.saturating_sub(there.get(&key).copied().unwrap_or(0)),
             }
         };
-        then(&Ask {
-            room: group.room,
+        then(&PlacementRequest {
+            resources: group.resources,
             count: group.waiting,
             end_ms: self.now_ms + group.run_ms(),
             tolerance: group.objective_ms.saturating_sub(self.now_ms) as f64
@@ -288,7 +296,12 @@
         waited_ms >= LEAVE_RACK_MS && (late_anyway || on_time_even_so)
     }
 
-    fn start_placings(&mut self, key: GroupKey, placings: &[Placing], seats: &mut [Seat]) -> usize {
+    fn start_placements(
+        &mut self,
+        key: GroupKey,
+        placements: &[Placement],
+        candidates: &mut [CandidateWorker],
+    ) -> usize {
         let group = &self.groups[&key];
         let mut waiting = (0u32..)
             .zip(&group.tasks)
@@ -296,30 +309,30 @@
             .map(|(index, _)| index)
             .collect::<Vec<_>>()
             .into_iter();
-        let (room, gang) = (group.room, group.step.gang);
+        let (room, gang) = (group.resources, group.step.gang);
         let (fills, serves) = (group.step.fills, group.step.serves());
         let gang_run = gang.then(|| self.next_run(key, None));
         let on_trial = self.is_on_trial(key);
         let mut started = 0;
-        for placing in placings {
-            let seat = &mut seats[placing.seat];
-            for _ in 0..placing.count {
+        for placement in placements {
+            let candidate = &mut candidates[placement.candidate];
+            for _ in 0..placement.count {
                 let Some(index) = waiting.next() else {
                     return started;
                 };
-                seat.free = seat.free.minus(&room);
-                seat.fills |= fills;
-                seat.serves |= serves;
+                candidate.free = candidate.free.minus(&room);
+                candidate.fills |= fills;
+                candidate.serves |= serves;
                 let run = gang_run.unwrap_or_else(|| self.next_run(key, Some(index)));
                 if gang && let Some(group) = self.groups.get_mut(&key) {
                     group.gang_run = Some(run);
                     group.gang_ending = false;
                 }
-                self.start_run(seat.worker, key, index, run);
+                self.start_run(candidate.worker, key, index, run);
                 started += 1;
             }
-            if on_trial && self.keep_for_trial(seat.worker) {
-                seat.free = Resources::default();
+            if on_trial && self.keep_for_trial(candidate.worker) {
+                candidate.free = Resources::default();
             }
         }
         started
@@ -331,33 +344,38 @@
     }
 
     /// Whether a policy outside has to be asked first; if so, it is asked.
-    fn has_advice(&mut self, key: GroupKey, queue: &QueueTerms, seats: &[Seat]) -> bool {
+    fn has_advice(
+        &mut self,
+        key: GroupKey,
+        queue: &QueueTerms,
+        candidates: &[CandidateWorker],
+    ) -> bool {
         if queue.advice.is_none() {
             return true;
         }
         let group = &self.groups[&key];
-        let useful = |seat: &&Seat| {
-            let worker = self.worker(seat.worker);
+        let useful = |candidate: &&CandidateWorker| {
+            let worker = self.worker(candidate.worker);
             worker.info.service == queue.service
                 && worker.has_label(&group.step.required_label)
-                && seat.free.holds(&group.room)
+                && candidate.free.holds(&group.resources)
         };
-        let ticketed = seats
+        let ticketed = candidates
             .iter()
             .filter(useful)
-            .filter(|seat| self.has_ticket(group, seat.worker))
-            .map(|seat| seat.free.times(&group.room))
+            .filter(|candidate| self.has_ticket(group, candidate.worker))
+            .map(|candidate| candidate.free.times(&group.resources))
             .fold(0u32, u32::saturating_add);
         if ticketed >= group.waiting {
             return true;
         }
-        let workers: Vec<_> = seats
+        let workers: Vec<_> = candidates
             .iter()
             .filter(useful)
-            .filter(|seat| !group.advice.declined.contains(&seat.worker))
-            .filter(|seat| !self.has_ticket(group, seat.worker))
+            .filter(|candidate| !group.advice.declined.contains(&candidate.worker))
+            .filter(|candidate| !self.has_ticket(group, candidate.worker))
             .take(MAX_ADVISED_WORKERS)
-            .map(|seat| (seat.worker, self.worker(seat.worker).name()))
+            .map(|candidate| (candidate.worker, self.worker(candidate.worker).name()))
             .collect();
         let now_ms = self.now_ms;
         if let Some(group) = self.groups.get_mut(&key) {
@@ -371,7 +389,7 @@
     }
 
     /// Takes in what a policy outside said.
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
         key: GroupKey,
         asked: &[WorkerKey],
@@ -414,7 +432,7 @@
     pub(super) fn may_preempt(&self, ranked: &Ranked) -> bool {
         let job = &self.jobs[&ranked.key.job];
         let group = &self.groups[&ranked.key];
-        if self.tuning.order != OrderRule::Worth {
+        if self.tuning.order != OrderingPolicy::Utility {
             return false;
         }
         let on_time = self.now_ms + group.run_ms() <= group.objective_ms;
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -162,14 +162,14 @@
 
 impl Scheduler {
     /// Takes in a wave; one that is known stays as it is.
-    pub(super) fn take_wave(&mut self, order: WaveOrder) {
+    pub(super) fn handle_wave(&mut self, order: WaveOrder) {
         let known = self.upkeep.waves.contains_key(&order.number)
             || self.upkeep.completed.contains(&order.number);
         if known {
             return;
         }
         // An owner that finds a wave does not know how long it is open.
-        let left_ms = match self.recovered {
+        let left_ms = match self.stored_state_read {
             true => order.duration_ms,
             false => order.duration_ms / 2,
         };
@@ -181,7 +181,7 @@
             absent: BTreeMap::new(),
         };
         self.upkeep.waves.insert(order.number, wave);
-        self.actions.push(Action::StoreWave {
+        self.actions.push(Action::StoreWaveState {
             wave: order.number,
             completed: false,
         });
@@ -189,7 +189,7 @@
 
     /// Takes in the platform's list of machines, asked for at `sent_ms`; `None`
     /// if it did not come.
-    pub(super) fn take_machines(&mut self, sent_ms: u64, machines: Option<Vec<MachineInfo>>) {
+    pub(super) fn handle_machine_list(&mut self, sent_ms: u64, machines: Option<Vec<MachineInfo>>) {
         self.upkeep.list_in_flight = false;
         let Some(machines) = machines else {
             return;
@@ -220,7 +220,12 @@
     }
 
     /// Takes in what became of an order.
-    pub(super) fn upkeep_over(&mut self, number: u64, machine: &str, outcome: UpkeepOutcome) {
+    pub(super) fn handle_upkeep_result(
+        &mut self,
+        number: u64,
+        machine: &str,
+        outcome: UpkeepOutcome,
+    ) {
         let now_ms = self.now_ms;
         let turn = self.upkeep.waves.get_mut(&number);
         let Some(turn) = turn.and_then(|wave| wave.turns.get_mut(machine)) else {
@@ -235,7 +240,7 @@
             }
             UpkeepOutcome::NotOfWave => Turn::Over,
             UpkeepOutcome::Fenced => {
-                self.actions.push(Action::Deposed);
+                self.actions.push(Action::OwnershipLost);
                 return;
             }
             UpkeepOutcome::Limited => Turn::Ordered {
@@ -275,7 +280,7 @@
             if self.upkeep.waves[&number].left() == 0 {
                 self.upkeep.waves.remove(&number);
                 self.upkeep.completed.insert(number);
-                self.actions.push(Action::StoreWave {
+                self.actions.push(Action::StoreWaveState {
                     wave: number,
                     completed: true,
                 });
--- a/src/scheduler/evidence.rs
+++ b/src/scheduler/worker_health.rs
@@ -113,7 +113,7 @@
                 && worker.info.service == service
                 && caution.allows(worker, now_ms)
         });
-        let room = others.map(|worker| worker.info.capacity.times(&group.room));
+        let room = others.map(|worker| worker.info.capacity.times(&group.resources));
         let room = room.fold(0u32, u32::saturating_add);
         (room >= group.waiting).then_some(caution)
     }
@@ -164,7 +164,7 @@
         let now_ms = self.now_ms;
         let mut stalled = Vec::new();
         for worker in &self.workers {
-            if worker.failed_looks > 0 {
+            if worker.failed_polls > 0 {
                 continue;
             }
             for (&name, run) in &worker.runs {
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -30,7 +30,7 @@
 /// What a worker says once so many accelerators are left to it.
 fn shrunk(name: &str, accelerators: u32) -> Input {
     let usual = worker_info(name, "r1");
-    Input::Worker(WorkerInfo {
+    Input::WorkerRegistered(WorkerInfo {
         capacity: Resources {
             accelerators,
             ..usual.capacity
@@ -43,7 +43,7 @@
 /// whatever they are told to.
 fn full_worker() -> Fleet {
     let tuning = Tuning {
-        entries_view_ms: 2_860,
+        entries_max_age_ms: 2_860,
         ..Tuning::default()
     };
     let mut fleet = Fleet::with_tuning(1, tuning);
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -13,7 +13,7 @@
     EndKind,
     Input,
     JobRecord,
-    JobView,
+    JobStatus,
     RunName,
     StepSpec,
     WorkerInfo, //
@@ -290,13 +290,13 @@
         },
         Entry::Bytes(bytes) => return decoded(&name(at), bytes),
     };
-    Input::Worker(info)
+    Input::WorkerRegistered(info)
 }
 
 fn decoded(worker_name: &str, bytes: &[u8]) -> Input {
     match decode_worker(worker_name, bytes) {
-        Ok(info) => Input::Worker(info),
-        Err(error) => Input::WorkerUnusable {
+        Ok(info) => Input::WorkerRegistered(info),
+        Err(error) => Input::WorkerEntryUnusable {
             worker_name: worker_name.to_owned(),
             reason: error.reason(),
         },
@@ -386,7 +386,7 @@
     fn end_members(&mut self, run: RunName, kind: EndKind) {
         let others = match kind {
             EndKind::Done => EndKind::Done,
-            _ => EndKind::Broken,
+            _ => EndKind::GangEnded,
         };
         for worker in self.fleet.workers.values_mut() {
             let names: Vec<RunName> = worker.running.keys().copied().collect();
@@ -411,14 +411,14 @@
         let (entries, unread) = (&self.entries, &self.unread);
         let mut next = before.next_owner_told(self.epoch, false, |next| {
             if !roster_reads {
-                next.tell(Input::RosterUnread);
+                next.tell(Input::RosterUnreadable);
             }
             for (at, entry) in entries.iter().enumerate() {
                 if roster_reads {
-                    next.tell(Input::KnownWorker {
+                    next.tell(Input::RosterWorker {
                         worker_name: name(at),
                         address: address_of(&name(at)),
-                        closed_with: before.closed.get(&name(at)).cloned().flatten(),
+                        closed_runs: before.closed.get(&name(at)).cloned().flatten(),
                     });
                 } else if let Some(Some(runs)) = before.closed.get(&name(at)) {
                     next.tell(Input::ClosedWorker {
@@ -432,8 +432,8 @@
             }
             for (id, record) in jobs {
                 next.tell(match unread.contains(id) {
-                    true => Input::JobUnread(*id),
-                    false => Input::Job {
+                    true => Input::JobUnreadable(*id),
+                    false => Input::JobStored {
                         id: *id,
                         record: Arc::new(record.clone()),
                         progress: before.stored.get(id).map(|(_, noted)| noted.clone()),
@@ -450,7 +450,7 @@
             let (_, record) = self.jobs.iter().find(|(own, _)| *own == id).expect("a job");
             let noted = self.fleet.stored.get(&id);
             let progress = noted.map(|(_, noted)| noted.clone());
-            self.fleet.tell(Input::JobRead {
+            self.fleet.tell(Input::JobReadable {
                 id,
                 record: Arc::new(record.clone()),
                 progress,
@@ -472,7 +472,7 @@
                 if worker.lease_end_ms > 0 && worker.has_lapsed(self.fleet.now_ms) {
                     let names: Vec<RunName> = worker.running.keys().copied().collect();
                     for name in names {
-                        worker.end(name, EndKind::Lapsed);
+                        worker.end(name, EndKind::LeaseExpired);
                     }
                 }
             }
@@ -519,8 +519,8 @@
                 self.end_one(at, EndKind::Done);
             }
             let over = |id: &JobId| {
-                let view = self.fleet.scheduler.job_view(*id);
-                matches!(view, Some(JobView::Completed | JobView::Failed))
+                let view = self.fleet.scheduler.job_status(*id);
+                matches!(view, Some(JobStatus::Completed | JobStatus::Failed))
             };
             let open = self.jobs.iter().map(|(id, _)| *id);
             left = open.filter(|id| !over(id)).collect();
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -17,9 +17,9 @@
 use fuchsiaslip::scheduler::{
     Action,
     EndKind,
-    HoldReport,
     Input,
-    JobView,
+    JobStatus,
+    PollReport,
     RunName,
     Schedule,
     StartRefusal,
@@ -71,13 +71,13 @@
 
     fleet.end_all(job, EndKind::Done);
     fleet.advance(200);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Running));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Running));
     assert_eq!(fleet.highest_last_seen["w0"], 0, "the end is not durable");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::Stored { job, change });
+    fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(200);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
 }
 
@@ -102,7 +102,7 @@
     fleet.end_run(&first.0, first.1, EndKind::Done);
     fleet.advance(50);
 
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 #[test]
@@ -118,7 +118,7 @@
 
     fleet.end_all(job, EndKind::Failed);
     fleet.advance(100);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Failed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Failed));
     assert!(fleet.running().is_empty(), "two attempts were allowed");
 }
 
@@ -158,7 +158,7 @@
     assert_eq!(times, [BEGIN_MS + 500, BEGIN_MS + 1_500]);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(50);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 #[test]
@@ -172,17 +172,17 @@
         EndKind::Failed,
         EndKind::Failed,
         EndKind::Failed,
-        EndKind::Lapsed,
+        EndKind::LeaseExpired,
     ] {
         fleet.end_all(job, kind);
         fleet.advance(100);
         assert_eq!(fleet.running().len(), 1, "after {kind:?}");
     }
 
-    fleet.tell(Input::Cancelled(job));
+    fleet.tell(Input::JobCancelled(job));
     fleet.advance(50);
     assert!(fleet.running().is_empty());
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Cancelled));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Cancelled));
 }
 
 /// Urgent work finds its accelerators lent to patient work. The victims are
@@ -232,12 +232,12 @@
     fleet.settle();
     let worker = fleet.scheduler.workers()[0].key;
 
-    fleet.tell(Input::Held {
+    fleet.tell(Input::PollAnswered {
         worker,
         sent_ms: fleet.now_ms,
-        report: HoldReport {
+        report: PollReport {
             clock_ms: fleet.now_ms,
-            ..HoldReport::default()
+            ..PollReport::default()
         },
     });
     fleet.settle();
@@ -306,7 +306,7 @@
     let (mut fleet, ..) = Fleet::with_job(2, record("plain", vec![long]));
     let before = fleet.running()[0].0.clone();
 
-    fleet.tell(Input::Worker(leaving_info(&before, 2_000)));
+    fleet.tell(Input::WorkerRegistered(leaving_info(&before, 2_000)));
     fleet.advance(400);
 
     let after = fleet.running();
@@ -381,7 +381,7 @@
     let looks = |fleet: &Fleet| {
         let holds = fleet.actions.iter();
         holds
-            .filter(|action| matches!(action, Action::Hold { .. }))
+            .filter(|action| matches!(action, Action::Poll { .. }))
             .count()
     };
     let before = looks(&fleet);
@@ -390,7 +390,7 @@
     assert_eq!(looks(&fleet), before, "no look while the end is stored");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::Stored { job, change });
+    fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(10);
     assert_eq!(looks(&fleet), before + 1, "one look tells that it is");
     assert_eq!(fleet.highest_last_seen["w0"], 1);
@@ -417,7 +417,7 @@
     fleet.advance(100);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(100);
-    assert_eq!(fleet.scheduler.job_view(job), Some(JobView::Completed));
+    assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
 /// An owner was paused for 14 s, and the first look that it read then had been answered
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -175,7 +175,7 @@
             self.void.extend(listed);
             let running: Vec<RunName> = fake.running.keys().copied().collect();
             for name in running {
-                fake.end(name, EndKind::Lapsed);
+                fake.end(name, EndKind::LeaseExpired);
             }
         }
     }
@@ -254,7 +254,7 @@
             return;
         };
         self.cancelled.insert(job);
-        self.fleet.tell(Input::Cancelled(job));
+        self.fleet.tell(Input::JobCancelled(job));
     }
 
     fn worker_names(&self) -> Vec<String> {
@@ -297,7 +297,7 @@
         next.holds_progress = true;
         next.follows_jobs = self.untold.is_empty();
         for &job in &self.cancelled {
-            next.tell(Input::Cancelled(job));
+            next.tell(Input::JobCancelled(job));
         }
         self.fleet = next;
         (self.checked_ends, self.checked_starts) = (0, 0);
@@ -307,7 +307,7 @@
         for job in std::mem::take(&mut self.untold) {
             let known = self.jobs.iter().find(|(id, _)| *id == job);
             if let Some((id, record)) = known.filter(|_| !self.fleet.forgotten.contains(&job)) {
-                self.fleet.tell(Input::Job {
+                self.fleet.tell(Input::JobStored {
                     id: *id,
                     record: Arc::new(record.clone()),
                     progress: None,
