--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -1,18 +1,18 @@
-//! When a worker may be told that an end is noted.
+//! Decides when the end of a run may be acknowledged to its worker.
 //!
-//! A worker lists an end until it is told so, and then forgets it; the next
-//! owner knows only what is stored and what workers list. So **no worker is told
-//! that an end is noted before everything that follows from it is stored**: the
-//! change of its job, also where the job is over in memory, since it is over only
-//! here until that is stored. Otherwise a done task runs again, or one that failed
-//! too often, after a change of owner.
+//! A worker lists an end until it is acknowledged, and then forgets it; the next owner
+//! knows only what is stored and what workers list. So **no end is acknowledged before
+//! everything that follows from it is durable**: the change of its job, even if the job
+//! has already ended in memory, since no other owner knows of that until it is stored.
+//! Otherwise, after a change of owner, a task that is done, or that has exhausted its
+//! attempts, would run again.
 //!
-//! An end waits for the last change that its job had when it was taken in. One of
-//! a job that this owner does not know waits until all jobs that were stored when
-//! it was heard have been read: by then the job is known, and the end is taken in,
-//! or the job is not stored any more and nothing of it can start. Each of these
-//! comes once the store answers, so no end waits for longer than that; but one of a
-//! job with a stored value that does not read waits until that reads.
+//! An end waits for the last change that its job had when the end was handled. The end of
+//! a job that this owner does not know waits until all jobs that were stored when the end
+//! was received have been read: by then either the job is known and the end is handled, or
+//! the job is not stored any more and none of its tasks can start. Both come about once the
+//! store answers, so no end waits for longer than that. Only the end of a job with a stored
+//! value that cannot be decoded waits until it can be.
 
 use super::action::Decision;
 use super::state::Scheduler;
@@ -27,72 +27,73 @@
     WorkerKey, //
 };
 
-/// An end that a worker reported and that was not yet acknowledged to it.
+/// An end that a worker reported and that has not been acknowledged yet.
 #[derive(Clone, Debug)]
 pub struct UnacknowledgedEnd {
-    /// As the worker lists it.
+    /// The end as the worker lists it.
     pub row: EndedRow,
-    /// What comes before its worker is told.
+    /// The condition for acknowledging it.
     pub waits_for: WaitsFor,
 }
 
-/// What comes before a worker is told that an end is noted.
+/// The condition that has to hold before an end is acknowledged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaitsFor {
-    /// Nothing has to be stored.
+    /// None: nothing has to be stored.
     Nothing,
     /// The change of its job with this number is durable.
     Change(u64),
-    /// All jobs that were stored at this time are read: its own is not known.
-    JobsAt(u64),
-    /// Its job reads, or is cancelled.
-    JobToRead,
+    /// Its job is unknown: all jobs that were stored at this time have been read.
+    JobsReadPast(u64),
+    /// Its job is unreadable: the job can be decoded, or is cancelled.
+    JobReadable,
 }
 
 impl Scheduler {
-    /// Notes what follows from an end, and returns what has to be durable
-    /// before its worker may forget it.
+    /// Applies an end to its task and job, and returns the condition for acknowledging it.
     pub(super) fn note_end(&mut self, key: WorkerKey, row: &EndedRow) -> WaitsFor {
         let id = row.name.task.job;
         if self.is_unreadable(id) && !self.jobs.contains_key(&id) {
-            return WaitsFor::JobToRead;
+            return WaitsFor::JobReadable;
         }
-        self.keep_end_checkpoint(row);
+        self.record_end_checkpoint(row);
         self.drop_older_claims(row.name);
         if !matches!(row.kind, EndKind::Done | EndKind::Failed) {
             return WaitsFor::Nothing;
         }
         if self.deleting_jobs.contains_key(&id) {
-            // It was over, durably, before it was forgotten.
+            // The end of the job was durable before its deletion began.
             return WaitsFor::Nothing;
         }
         if !self.jobs.contains_key(&id) {
-            return WaitsFor::JobsAt(self.now_ms);
+            return WaitsFor::JobsReadPast(self.now_ms);
         }
         self.open_for_end(GroupKey::of(row.name.task));
         match row.kind {
-            EndKind::Done => self.take_done(key, row.name),
-            _ => self.take_failed(key, row.name),
+            EndKind::Done => self.handle_done(key, row.name),
+            _ => self.handle_failed(key, row.name),
         }
-        // Also where nothing changed: the job may be over, or the task done,
+        // This holds even if nothing changed: the job may have ended, or the task be done,
         // by an end of another worker that is not stored yet and can be lost.
         let job = &self.jobs[&id];
         match job.cancelled {
-            // Cancellations are stored before they are told.
+            // A cancellation is durable before the scheduler learns of it.
             true => WaitsFor::Nothing,
             false => WaitsFor::Change(job.change),
         }
     }
 
-    /// Takes in the ends that were heard before their job was known, or could be
-    /// read.
-    pub(super) fn take_early_ends(&mut self, id: JobId) {
+    /// Applies the ends that were listed before their job was known or readable.
+    pub(super) fn handle_early_ends(&mut self, id: JobId) {
         let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
         for key in waiting {
             for at in 0..self.worker(key).unacknowledged_ends.len() {
                 let end = &self.worker(key).unacknowledged_ends[at];
                 let own = end.row.name.task.job == id;
-                let early = matches!(end.waits_for, WaitsFor::JobsAt(_) | WaitsFor::JobToRead);
+                let early = matches!(
+                    end.waits_for,
+                    WaitsFor::JobsReadPast(_) | WaitsFor::JobReadable
+                );
                 if own && early {
                     let row = end.row.clone();
                     let waits_for = self.note_end(key, &row);
@@ -102,7 +103,8 @@
         }
     }
 
-    /// More is durable, or known: tells the workers that listed ends of it.
+    /// Acknowledges ends whose condition now holds, after more became durable or known: a
+    /// worker of which all ends may be acknowledged is polled at once.
     pub(super) fn acknowledge_ends(&mut self) {
         let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
         for key in waiting {
@@ -115,11 +117,11 @@
         }
     }
 
-    /// Moves `last_seen` of a worker past the ends that it may forget; whether
-    /// it may forget all of them.
+    /// Advances `last_seen` of a worker past the ends that may be acknowledged. Returns
+    /// whether all of its ends may be.
     pub(super) fn advance_last_seen(&mut self, key: WorkerKey) -> bool {
         while let Some(end) = self.worker(key).unacknowledged_ends.front() {
-            if !self.may_be_forgotten(end) {
+            if !self.may_acknowledge(end) {
                 return false;
             }
             let worker = self.worker_mut(key);
@@ -127,7 +129,7 @@
                 break;
             };
             worker.last_seen = end.row.number;
-            if matches!(end.waits_for, WaitsFor::JobsAt(_)) {
+            if matches!(end.waits_for, WaitsFor::JobsReadPast(_)) {
                 self.end_released(key, end.row.name, "job_not_stored");
             }
         }
@@ -135,28 +137,29 @@
         true
     }
 
-    fn may_be_forgotten(&self, end: &UnacknowledgedEnd) -> bool {
+    /// Returns whether the condition for acknowledging an end holds.
+    fn may_acknowledge(&self, end: &UnacknowledgedEnd) -> bool {
         match end.waits_for {
             WaitsFor::Nothing => true,
-            // A job leaves the memory only after its last change is durable.
+            // A job is removed from memory only after its last change is durable.
             WaitsFor::Change(change) => {
                 let job = self.jobs.get(&end.row.name.task.job);
                 job.is_none_or(|job| job.stored >= change)
             }
-            WaitsFor::JobsAt(heard_ms) => {
-                self.jobs_read_ms > heard_ms && !self.is_unreadable(end.row.name.task.job)
+            WaitsFor::JobsReadPast(received_ms) => {
+                self.jobs_read_ms > received_ms && !self.is_unreadable(end.row.name.task.job)
             }
-            WaitsFor::JobToRead => !self.is_unreadable(end.row.name.task.job),
+            WaitsFor::JobReadable => !self.is_unreadable(end.row.name.task.job),
         }
     }
 
-    /// All jobs that were stored before `sent_ms` are known.
+    /// Records that all jobs that were stored before `sent_ms` have been read.
     pub(super) fn handle_jobs_read(&mut self, sent_ms: u64) {
         self.jobs_read_ms = self.jobs_read_ms.max(sent_ms);
         self.acknowledge_ends();
     }
 
-    /// How many reported ends are not yet acknowledged to their workers.
+    /// Counts the reported ends that have not been acknowledged yet.
     pub fn unacknowledged_end_count(&self) -> usize {
         let waiting = self.with_unacknowledged_ends.iter();
         waiting
@@ -164,7 +167,7 @@
             .sum()
     }
 
-    /// Logs an end of which nothing is stored.
+    /// Logs that an end is released to be acknowledged although nothing is stored for it.
     pub(super) fn end_released(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
         let worker = self.worker(key).name();
         self.decided(Decision::EndReleased {
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -12,67 +12,67 @@
 };
 use std::sync::Arc;
 
-/// The worker that a call is meant for.
+/// The worker that a call is addressed to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Callee {
-    /// Its key, for the answer.
+    /// The worker's key, to be passed back with the outcome.
     pub worker: WorkerKey,
-    /// Where it is called.
+    /// The address at which it takes calls.
     pub address: Arc<str>,
-    /// Its name: no other worker carries a call out.
+    /// The worker's name; a worker with another name does not carry out the call.
     pub worker_name: Arc<str>,
 }
 
-/// Something to carry out.
+/// An action that the caller of the scheduler has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Poll a worker: renew its lease and ask what runs there.
+    /// Poll a worker: renew its lease, acknowledge ends and ask what runs there.
     Poll {
-        /// Whom to call.
+        /// The worker to call.
         callee: Callee,
-        /// Ends up to here are durable.
+        /// Acknowledges all ends up to this number: what follows from them is durable.
         last_seen: u64,
-        /// End of the lease on the worker's clock; `None` leaves it.
+        /// End of the lease on the worker's clock; `None` leaves the lease unchanged.
         lease_end_ms: Option<u64>,
-        /// How long the worker may wait for an end.
+        /// How long the worker may delay its answer while no run ends.
         wait_ms: u64,
     },
     /// Start a run.
     Start {
-        /// Whom to call.
+        /// The worker to call.
         callee: Callee,
         /// The run.
         name: RunName,
-        /// What the task is given.
+        /// The input of the task.
         payload: Arc<str>,
         /// The order is void after this time on the worker's clock.
         lease_end_ms: u64,
-        /// Where to go on from.
+        /// The checkpoint to resume from; `None` to start from the beginning.
         checkpoint: Option<Arc<str>>,
-        /// Approval of a policy outside.
+        /// Approval of an external placement policy, if the queue has one.
         ticket: Option<Arc<str>>,
     },
-    /// Stop a run, also one that has not arrived yet.
+    /// Stop a run, even if its start order has not reached the worker yet.
     Stop {
-        /// Whom to call.
+        /// The worker to call.
         callee: Callee,
         /// The run.
         name: RunName,
     },
     /// Limit a run to a share of its full speed.
     Throttle {
-        /// Whom to call.
+        /// The worker to call.
         callee: Callee,
         /// The run.
         name: RunName,
-        /// The share.
+        /// The share in percent.
         percent: u32,
     },
-    /// Ask a policy outside which workers may run a step.
+    /// Ask an external placement policy which workers may run a step.
     Advise {
-        /// The step.
+        /// The step of one occurrence.
         step: GroupKey,
-        /// The workers, with their names.
+        /// The workers to ask about, with their names.
         workers: Vec<(WorkerKey, Arc<str>)>,
     },
     /// Store the progress of a job. Several requests may precede the first write; the
@@ -90,7 +90,7 @@
     },
     /// Read the platform's list of machines.
     ListMachines,
-    /// Begin the upkeep of a machine; ordered again, it changes nothing.
+    /// Begin the upkeep of a machine. A repeated order changes nothing.
     BeginUpkeep {
         /// The wave.
         wave: u64,
@@ -101,15 +101,15 @@
     StoreWaveState {
         /// The wave.
         wave: u64,
-        /// All its machines that stay had their upkeep.
+        /// Whether all machines of the wave that did not leave had their upkeep.
         completed: bool,
     },
-    /// Store since when a data centre gets no new tasks, for people to read; or
-    /// that it gets them again.
+    /// Store, for operators to read, since when a data centre gets no new tasks, or that
+    /// it gets new tasks again.
     StoreEmptiedDataCentre {
         /// The data centre.
         data_centre: Arc<str>,
-        /// The store's revision of the order; `None` when it was taken back.
+        /// The store's revision of the order; `None` when the order was withdrawn.
         revision: Option<u64>,
     },
     /// Delete everything that is stored of a job.
@@ -119,20 +119,20 @@
     },
     /// This owner is fenced: a worker has seen a higher epoch.
     OwnershipLost,
-    /// A decision, for the log and the counters.
+    /// A decision, for the log and the metrics.
     Decided(Decision),
 }
 
-/// A decision with what it rested on.
+/// A decision or an observed event, with the facts behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A run was given to a worker.
+    /// A run was placed on a worker.
     Placed {
         /// The run.
         name: RunName,
         /// The worker's name.
         worker: Arc<str>,
-        /// Age of what is known of the worker.
+        /// Time since the worker last responded.
         view_age_ms: u64,
         /// Priority of its queue.
         priority: u32,
@@ -149,7 +149,7 @@
         reason: StopReason,
         /// Priority of its queue.
         priority: u32,
-        /// Core-seconds that are lost with it, as far as known.
+        /// Estimated work that is lost with the run, in core-seconds.
         lost_core_s: f64,
     },
     /// A run ended.
@@ -158,12 +158,12 @@
         name: RunName,
         /// The worker's name.
         worker: Arc<str>,
-        /// How, as workers say it.
+        /// How it ended: see [`EndKind::name`](super::EndKind::name).
         kind: &'static str,
         /// Number of the end on its worker.
         number: u64,
     },
-    /// A worker was told that an end is noted of which nothing is stored.
+    /// An end was released to be acknowledged although nothing is stored for it.
     EndReleased {
         /// The run.
         name: RunName,
@@ -193,14 +193,14 @@
         priority: u32,
         /// Time since it was due.
         age_ms: u64,
-        /// Time that it has from when it was due until it is late.
+        /// Time from when the occurrence was due until it is late.
         objective_ms: u64,
-        /// Failures of one task that end it.
+        /// Number of failures of one task at which the job fails.
         max_attempts: u32,
         /// Version of the configuration that this owner knows.
         configuration_version: u64,
     },
-    /// Nobody told this owner of a job's queue: the job waits.
+    /// The terms of a job's queue are unknown to this owner, so the job waits.
     TermsUnknown {
         /// The job.
         job: JobId,
@@ -213,21 +213,22 @@
     JobEnded {
         /// The job.
         job: JobId,
-        /// How.
+        /// How it ended: `completed`, `failed` or `cancelled`.
         state: &'static str,
-        /// What made it fail; `None` for another end.
+        /// Why it failed; `None` if it ended otherwise.
         failure: Option<JobFailure>,
     },
-    /// A new owner knows, or need not know any more, what runs where.
+    /// The recovery of a new owner is over: all workers have answered, or all leases of
+    /// earlier owners have expired.
     RecoveryOver {
-        /// How long stored work waited for it.
+        /// How long stored work waited for the recovery.
         waited_ms: u64,
-        /// Steps that waited.
+        /// Groups that waited.
         groups: usize,
-        /// Workers that did not answer in all that time.
+        /// Workers that did not respond during the recovery.
         unheard: Vec<Arc<str>>,
     },
-    /// A worker gets no work for a while.
+    /// A worker is quarantined: it gets no work for a while.
     Quarantined {
         /// The worker's name.
         worker: Arc<str>,
@@ -236,71 +237,72 @@
         /// Why.
         reason: &'static str,
     },
-    /// An order for a machine's upkeep was answered, or not.
+    /// The outcome of an order for a machine's upkeep is known.
     Upkeep {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: Arc<str>,
-        /// What became of it.
+        /// The outcome of the order.
         outcome: UpkeepOutcome,
     },
-    /// The entry of a known worker names no worker to use: it gets no new work.
+    /// The registration entry of a known worker is invalid: the worker gets no new work.
     EntryUnusable {
         /// The worker's name.
         worker: Arc<str>,
         /// Why.
         reason: &'static str,
-        /// Runs that go on there.
+        /// Number of runs that continue there.
         runs: usize,
     },
-    /// It does again.
+    /// The registration entry of a worker, which was invalid, is valid again.
     EntryUsable {
         /// The worker's name.
         worker: Arc<str>,
-        /// Runs that went on there.
+        /// Number of runs that continued there.
         runs: usize,
     },
-    /// The operators ask that a data centre gets no new tasks.
+    /// The operators ordered that a data centre gets no new tasks.
     DataCentreEmptied {
         /// The data centre.
         data_centre: Arc<str>,
         /// The store's revision of the order.
         revision: u64,
-        /// Workers there.
+        /// Number of workers there.
         workers: usize,
-        /// Runs there, which end by themselves.
+        /// Number of runs there, which are left to end by themselves.
         runs: usize,
-        /// How long ago the last start was given there.
+        /// Time since the last start order there.
         last_start_ago_ms: Option<u64>,
-        /// Accelerators outside of all such data centres.
+        /// Accelerators outside of all data centres that are being emptied.
         accelerators_left: u32,
-        /// Accelerators that accounts are guaranteed together.
+        /// Sum of the accelerators that are guaranteed to accounts.
         guaranteed_accelerators: u32,
     },
-    /// The operators took such an order back.
+    /// The operators withdrew the order to empty a data centre.
     DataCentreBack {
         /// The data centre.
         data_centre: Arc<str>,
         /// The store's revision of the order.
         revision: u64,
-        /// How long it was in force for this owner.
+        /// How long the order was in force for this owner.
         emptied_ms: u64,
-        /// Workers there.
+        /// Number of workers there.
         workers: usize,
-        /// Runs that are still there.
+        /// Number of runs that are still there.
         runs: usize,
     },
-    /// A data centre that was given back got its first start.
+    /// The first start order went to a data centre after its order was withdrawn.
     DataCentreUsed {
         /// The data centre.
         data_centre: Arc<str>,
-        /// How long after it was given back.
+        /// Time from the withdrawal to the start order.
         after_ms: u64,
     },
-    /// The operators' orders were not read for too long: nothing new starts.
+    /// The orders to empty data centres are stale: nothing new starts until they are read
+    /// again.
     OrdersUnread {
-        /// When they were last known, as time ago.
+        /// Time since they were last known to be current.
         known_ago_ms: u64,
     },
     /// A run was lost with its worker.
@@ -309,15 +311,15 @@
         name: RunName,
         /// The worker's name.
         worker: Arc<str>,
-        /// How long ago it was ordered.
+        /// Time since the start order.
         ordered_ago_ms: u64,
-        /// How long after the order the worker last responded.
+        /// Time from the start order to the last response of the worker.
         heard_after_ms: u64,
         /// Upper bound on the time from the order to the worker's exit or the end of its lease.
         exited_within_ms: u64,
         /// The run's progress when its worker last listed it.
         percent: u32,
-        /// How it is known that the worker is lost.
+        /// The evidence that the worker is lost.
         reason: &'static str,
     },
     /// A worker crashed under a run.
@@ -326,68 +328,70 @@
         name: RunName,
         /// The worker's name.
         worker: Arc<str>,
-        /// The worker did not respond after the start.
+        /// Whether the crash counts as one at the start of the run: the worker is not
+        /// known to have outlived the start.
         at_start: bool,
-        /// No other job had such a run there.
+        /// Whether all suspects on the worker were of one job, and this run cannot have
+        /// ended before the crash.
         alone: bool,
-        /// Crashes under the task.
+        /// Crashes of workers under the task so far.
         crashes: u32,
-        /// Those of them at its start.
+        /// Crashes of workers at a start of the task so far.
         crashes_at_start: u32,
     },
-    /// A task crashes its workers: its job fails.
+    /// A task was given up because it crashes its workers: its job fails.
     TaskGivenUp {
-        /// Its last run.
+        /// The last run of the task.
         name: RunName,
-        /// Crashes under it.
+        /// Crashes of workers under the task.
         crashes: u32,
-        /// Those of them at its start.
+        /// Crashes of workers at a start of the task.
         crashes_at_start: u32,
-        /// Which of the bounds it reached.
+        /// The bound on crashes that the task reached.
         reason: &'static str,
     },
-    /// The workers' entries were not read for too long: those that do not guard their
-    /// room get nothing new.
+    /// The registration entries of workers are stale: workers of unguarded services get
+    /// nothing new until the entries are read again.
     EntriesUnread {
-        /// When they were last known, as time ago.
+        /// Time since they were last known to be current.
         known_ago_ms: u64,
     },
     /// Another incarnation answered under the name of a worker.
     WorkerRestarted {
         /// The worker's name.
         worker: Arc<str>,
-        /// When the one that answered started.
+        /// When the new incarnation started, since the Unix epoch.
         incarnation_start_ms: u64,
-        /// When the one before started.
+        /// When the earlier incarnation started, since the Unix epoch.
         earlier_incarnation_start_ms: u64,
-        /// The last end of the one before that this owner acknowledged.
+        /// Number of the last end of the earlier incarnation that was acknowledged.
         last_seen: u64,
-        /// Runs that were known there.
+        /// Number of runs that were known there.
         runs: usize,
     },
-    /// A worker was lost with all that ran there.
+    /// A worker was lost with all its runs.
     WorkerLost {
         /// The worker's name.
         worker: Arc<str>,
-        /// Runs that were lost.
+        /// Number of runs that were lost.
         runs: usize,
-        /// How that is known.
+        /// The evidence that the worker is lost.
         reason: &'static str,
     },
 }
 
-/// What a job failed by.
+/// The failure that ended a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct JobFailure {
     /// The run that failed last.
     pub name: RunName,
-    /// Failures of its task.
+    /// Number of failures of its task.
     pub failures: u32,
-    /// Failures that the queue allows.
+    /// Number of failures at which the terms of the queue fail the job.
     pub max_attempts: u32,
-    /// Version of the configuration that allows so many.
+    /// Version of the configuration that has these terms.
     pub terms_version: u64,
-    /// Workers that crashed under its task.
+    /// Number of crashes of workers under its task.
     pub crashes: u32,
 }
 
@@ -398,26 +402,26 @@
     JobOver,
     /// Another member of its gang cannot run.
     GangBroken,
-    /// Its room is needed by more urgent work.
+    /// More urgent work needs its resources.
     Preempted,
-    /// It stands still.
+    /// It makes no progress.
     Hanging,
     /// Its worker is far slower than others.
     Slow,
-    /// Nobody knows what it belongs to, or a newer run took its place.
+    /// Its job or task is unknown, or a newer run has replaced it.
     Stray,
     /// Its worker is leaving.
     WorkerLeaving,
-    /// Its machine has its upkeep next.
+    /// Its machine is next to have its upkeep.
     Upkeep,
-    /// Its data centre gets no new tasks, and it had not begun.
+    /// Its data centre is being emptied, and the run had not begun.
     DataCentreEmptied,
-    /// Its worker's room has shrunk, and it had not begun.
+    /// Its worker's capacity has shrunk, and the run had not begun.
     RoomShrunk,
 }
 
 impl StopReason {
-    /// The reason as logs and counters name it.
+    /// Returns the name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobOver => "job_over",
--- a/src/scheduler/configuration.rs
+++ b/src/scheduler/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as the product keeps it.
+//! The operators' configuration, in the form that is stored and shared by the daemons.
 
 use crate::scheduler::spec::Schedule;
 use serde::{
@@ -7,13 +7,13 @@
 };
 use std::sync::Arc;
 
-/// Terms of a queue on which a policy outside decides where steps may run.
+/// The external placement policy of a queue, which decides where steps may run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct AdviceTerms {
-    /// Time that one question takes.
+    /// Time that the policy takes for one request.
     pub decision_ms: u64,
-    /// Time that each worker named adds.
+    /// Additional time for each worker in the request.
     pub per_worker_ms: u64,
     /// How long an approval is valid.
     pub validity_ms: u64,
@@ -24,46 +24,48 @@
 pub struct Queue {
     /// Its name.
     pub name: String,
-    /// The host in requests to it.
+    /// The host of requests to it.
     pub host: String,
-    /// The beginning of paths of requests to it.
+    /// The prefix of the paths of requests to it.
     pub path_prefix: String,
     /// The service whose workers run its tasks.
     pub service: String,
-    /// 0 is the most urgent and may preempt others.
+    /// Priority of its jobs: 0 is the most urgent and may preempt others.
     pub priority: u32,
-    /// Failures of one task after which the job has failed.
+    /// Number of failures of one task at which the job fails.
     pub max_attempts: u32,
-    /// The objective is this many times the longest chain of work,
+    /// Factor from the length of a job's critical path to the time until it is late.
     pub stretch_factor: f64,
-    /// and this much more.
+    /// Added to the stretched critical path.
     pub target_latency_ms: u64,
-    /// No key is asked for.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Where a policy outside decides on workers.
+    /// The external placement policy, if there is one.
     pub advice: Option<AdviceTerms>,
 }
 
-/// What a queue says of its jobs, apart from how requests find it. It is stored
-/// with each accepted job, so that an owner knows it whatever version it has.
+/// The terms of a queue that apply to its jobs, without those that only route requests.
+/// They are stored with each accepted job, so that every owner knows them, whatever
+/// version of the configuration it has read.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct QueueTerms {
     /// The service whose workers run the tasks.
     pub service: String,
-    /// 0 is the most urgent and may preempt others.
+    /// Priority of the jobs: 0 is the most urgent and may preempt others.
     pub priority: u32,
-    /// Failures of one task after which the job has failed; at least 1.
+    /// Number of failures of one task at which the job fails; at least 1.
     pub max_attempts: u32,
-    /// The objective is this many times the longest chain of work,
+    /// Factor from the length of a job's critical path to the time until it is late.
     pub stretch_factor: f64,
-    /// and this much more.
+    /// Added to the stretched critical path.
     pub target_latency_ms: u64,
-    /// Where a policy outside decides on workers.
+    /// The external placement policy, if there is one.
     pub advice: Option<AdviceTerms>,
 }
 
 impl Queue {
-    /// What it says of its jobs in this version of the configuration.
+    /// Returns its terms, labelled with the version of the configuration that has them.
+    /// Fewer than one attempt count as one.
     pub fn terms_in(&self, configuration_version: u64) -> VersionedTerms {
         let terms = QueueTerms {
             service: self.service.clone(),
@@ -94,9 +96,9 @@
 pub struct AccountDeclaration {
     /// Its name.
     pub name: String,
-    /// Keys that its callers show.
+    /// Keys with which its callers authenticate.
     pub keys: Vec<String>,
-    /// Accelerators that are its own for urgent work.
+    /// Accelerators that are guaranteed to its urgent work.
     pub guaranteed_accelerators: u32,
 }
 
@@ -107,9 +109,9 @@
     pub max_header_bytes: usize,
     /// Largest body of a request.
     pub max_body_bytes: usize,
-    /// Time for the head of a request to arrive.
+    /// Time within which the head of a request has to arrive.
     pub header_timeout_ms: u64,
-    /// Time for which an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -124,7 +126,7 @@
     }
 }
 
-/// One version of the configuration; versions only rise.
+/// One version of the configuration; version numbers only increase.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ClusterConfiguration {
     /// Its number; 0 while none is known.
@@ -133,9 +135,10 @@
     pub queues: Vec<Queue>,
     /// The client accounts.
     pub accounts: Vec<AccountDeclaration>,
-    /// Services whose machines are off.
+    /// Services whose machines are switched off.
     pub standby_services: Vec<String>,
-    /// Services whose workers start whatever they are told to, whatever room they have.
+    /// Services whose workers start every run they are ordered to, without checking their
+    /// free capacity.
     #[serde(default)]
     pub unguarded_services: Vec<String>,
     /// Bounds on requests.
@@ -143,7 +146,8 @@
 }
 
 impl ClusterConfiguration {
-    /// The queue of a request: the longest prefix of its path, on its host.
+    /// Returns the queue of a request: of the queues on its host, the one with the longest
+    /// matching path prefix.
     pub fn queue_of(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .iter()
@@ -151,7 +155,7 @@
             .max_by_key(|queue| queue.path_prefix.len())
     }
 
-    /// The account that `key` belongs to.
+    /// Returns the account to which `key` belongs.
     pub fn account_of(&self, key: &str) -> Option<&AccountDeclaration> {
         self.accounts
             .iter()
@@ -160,7 +164,7 @@
 }
 
 impl Schedule {
-    /// When an occurrence is due.
+    /// Returns when an occurrence is due, since the Unix epoch.
     pub fn due_ms(&self, occurrence: u32) -> u64 {
         self.start_at_ms + u64::from(occurrence) * self.interval_ms
     }
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -1,4 +1,7 @@
-//! The tasks of one step of one occurrence.
+//! Groups: the tasks of one step of one occurrence, and their state.
+//!
+//! The counts of waiting and done tasks always agree with the states of the tasks, since
+//! both change only in [`Group::set_state`].
 
 use super::{
     CrashedRun,
@@ -15,7 +18,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Names the tasks of a step in an occurrence of a job.
+/// Identifies a group: a step in an occurrence of a job.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct GroupKey {
     /// The job.
@@ -27,7 +30,7 @@
 }
 
 impl GroupKey {
-    /// One of its tasks.
+    /// Returns the id of one of its tasks.
     pub fn task(self, index: u32) -> TaskId {
         TaskId {
             job: self.job,
@@ -37,7 +40,7 @@
         }
     }
 
-    /// The group of a task.
+    /// Returns the key of the group to which a task belongs.
     pub fn of(task: TaskId) -> Self {
         Self {
             job: task.job,
@@ -47,7 +50,7 @@
     }
 }
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TaskState {
     /// It has no run.
@@ -59,35 +62,36 @@
         /// The number of the run.
         run: u64,
     },
-    /// A run ended done.
+    /// A run of it completed.
     Done,
 }
 
-/// One task.
+/// A task and what is known of its earlier runs.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub state: TaskState,
-    /// Runs that ended failed, the last ones of a task that lasts. Their ends
-    /// are listed again after a change of owner, in any order.
+    /// Numbers of the runs that failed; at most the last `MAX_FAILED_RUNS`. Their ends
+    /// may be listed again after a change of owner, in any order.
     pub failed_runs: Vec<u64>,
     /// Runs whose worker crashed.
     pub crashes: Vec<CrashedRun>,
-    /// The highest number given to a run.
+    /// The highest number of any of its runs.
     pub last_run: u64,
-    /// Where the next run goes on from.
+    /// The checkpoint from which the next run resumes.
     pub checkpoint: Option<Arc<str>>,
     /// The worker on which it last failed or hung.
     pub avoid: Option<WorkerKey>,
-    /// When that was.
+    /// When it failed or hung there.
     pub avoided_ms: u64,
 }
 
-/// Failed runs that are remembered of a task that lasts.
+/// Number of failed runs that are remembered of a long-running task, which may fail any
+/// number of times.
 const MAX_FAILED_RUNS: usize = 64;
 
 impl Task {
-    /// Counts a failure; whether it was not counted before.
+    /// Records the failure of a run; returns false if it was recorded before.
     pub fn count_failure(&mut self, run: u64) -> bool {
         if self.failed_runs.contains(&run) {
             return false;
@@ -114,32 +118,32 @@
     }
 }
 
-/// A ticket for a step on a worker.
+/// The approval of an external placement policy for a step on a worker.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// What the start carries.
+    /// The ticket that the start order carries.
     pub ticket: Arc<str>,
-    /// Not to be used from then on.
+    /// When the ticket expires.
     pub until_ms: u64,
 }
 
-/// Workers that a policy outside allows for a step.
+/// The answers of an external placement policy for a step.
 #[derive(Clone, Debug, Default)]
 pub struct Advice {
-    /// A question is on its way.
+    /// Whether a request is in flight.
     pub asking: bool,
-    /// When to ask again at the earliest.
+    /// The earliest time of the next request.
     pub ask_at_ms: u64,
-    /// Approved workers.
+    /// Tickets of the approved workers.
     pub tickets: BTreeMap<WorkerKey, Ticket>,
     /// Workers that were not approved.
     pub declined: Vec<WorkerKey>,
 }
 
-/// The tasks of a step.
+/// The tasks of a step in one occurrence.
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Its name.
+    /// Its key.
     pub key: GroupKey,
     /// The step.
     pub step: Arc<StepSpec>,
@@ -151,47 +155,49 @@
     pub waiting: u32,
     /// How many are done.
     pub done: u32,
-    /// From when on tasks may start.
+    /// When its tasks may start; `u64::MAX` while it waits for other steps.
     pub released_ms: u64,
-    /// When it is to be done to be on time.
+    /// When the occurrence has to be done to be on time.
     pub objective_ms: u64,
-    /// The length of the objective.
+    /// Time from when the occurrence is due until `objective_ms`.
     pub objective_length_ms: u64,
-    /// The logarithm of a task's run time on a usual worker, in milliseconds.
+    /// Estimate of a task's run time in milliseconds on a worker of usual speed, as a
+    /// logarithm.
     pub run_time: LogEstimate,
-    /// It was taken in for later estimates of its queue.
+    /// Whether the run time was added to the model of its queue.
     pub run_time_noted: bool,
-    /// The run of the gang that is on workers.
+    /// The number of the gang's run that is on workers.
     pub gang_run: Option<u64>,
-    /// That run is being given up.
+    /// Whether the gang's run is being stopped.
     pub gang_ending: bool,
-    /// An earlier owner may have started tasks where this one cannot look.
+    /// Whether tasks that an earlier owner started may still run on workers that this
+    /// owner has not reached.
     pub recovering: bool,
-    /// The change of its job with the last crash at the start of one of its tasks; 0
-    /// for none.
+    /// The change of its job that stores the last crash at the start of one of its tasks;
+    /// 0 for none.
     pub crash_change: u64,
-    /// Workers that a policy outside allows.
+    /// The answers of the external placement policy, if its queue has one.
     pub advice: Advice,
-    /// How often its runs were stopped for others.
+    /// How often its runs were preempted.
     pub preempted: u32,
-    /// Preemption for it is tried again from then on.
+    /// The earliest time of the next preemption for it.
     pub preempt_at_ms: u64,
-    /// Room that is being freed for it, in tasks on each worker. Until then
-    /// nothing that comes later in the order takes it.
+    /// Capacity that is being freed for it, in tasks on each worker. Groups that come
+    /// later in the order may not take that capacity.
     pub claims: Vec<(WorkerKey, u32)>,
 }
 
 impl Group {
-    /// Whether a pass has something to place.
+    /// Returns whether a scheduling pass may place tasks of the group.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         if self.waiting == 0 || now_ms < self.released_ms || self.recovering {
             return false;
         }
-        // A gang starts with all members, so all have to be without a run.
+        // A gang starts with all members at once, so none may have a run.
         !self.step.gang || self.waiting == self.tasks.len() as u32
     }
 
-    /// Changes a task's state and the counts with it.
+    /// Changes the state of a task, and the counts of waiting and done tasks with it.
     pub fn set_state(&mut self, index: u32, state: TaskState) {
         let task = &mut self.tasks[index as usize];
         match task.state {
@@ -207,13 +213,13 @@
         }
     }
 
-    /// A task's run time on a usual worker, as far as it is known.
+    /// Returns the estimated run time of a task on a worker of usual speed.
     pub fn run_ms(&self) -> u64 {
         self.run_time.value() as u64
     }
 
-    /// When its job earns what; run times are off by a fifth even when estimates
-    /// fit.
+    /// Returns the objective of its job, from which the utility is computed. The spread
+    /// allows for run times that are off by a fifth even when estimates are good.
     pub fn objective(&self) -> JobObjective {
         const SPREAD: f64 = 0.2;
         JobObjective {
@@ -223,12 +229,12 @@
         }
     }
 
-    /// Whether all tasks are done.
+    /// Returns whether all tasks are done.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Drops what is noted of a worker that is gone.
+    /// Removes all references to a worker that is gone.
     pub fn forget_worker(&mut self, worker: WorkerKey) {
         for task in &mut self.tasks {
             task.avoid = task.avoid.filter(|&avoided| avoided != worker);
@@ -238,9 +244,9 @@
         self.claims.retain(|&(claimed, _)| claimed != worker);
     }
 
-    /// Tasks on `worker`.
+    /// Counts the tasks on `worker`.
     pub fn on_worker(&self, worker: WorkerKey) -> u32 {
-        let there = |task: &&Task| matches!(task.state, TaskState::Placed { worker: own, .. } if own == worker);
-        self.tasks.iter().filter(there).count() as u32
+        let is_there = |task: &&Task| matches!(task.state, TaskState::Placed { worker: own, .. } if own == worker);
+        self.tasks.iter().filter(is_there).count() as u32
     }
 }
--- a/src/scheduler/id.rs
+++ b/src/scheduler/id.rs
@@ -1,10 +1,11 @@
-//! Names of tasks and runs.
+//! Identifiers of tasks and runs.
 
 use crate::core::JobId;
 use std::fmt;
 use std::str::FromStr;
 
-/// One task of a job: occurrence, step and index within the step.
+/// Identifies one task of a job. Written as `JOB.OCCURRENCE.STEP.INDEX`, with the job in
+/// hexadecimal and the other parts in decimal.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct TaskId {
     /// The job.
@@ -13,20 +14,20 @@
     pub occurrence: u32,
     /// The step.
     pub step: u32,
-    /// The task within the step.
+    /// The index of the task within the step.
     pub index: u32,
 }
 
-/// One start of a task. Numbers of a task's runs rise.
+/// Identifies one run of a task. A later run of a task has a higher number.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RunName {
     /// The task.
     pub task: TaskId,
-    /// The number of the start.
+    /// The number of the run.
     pub run: u64,
 }
 
-/// A text that names no task.
+/// The error for a text that is not the name of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not the name of a task; expected JOB.OCCURRENCE.STEP.INDEX")]
 pub struct InvalidTaskId;
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -1,4 +1,5 @@
-//! The inputs of the scheduler.
+//! The inputs of the scheduler: stored state, answers of workers and the platform, and
+//! outcomes of earlier actions.
 
 use super::{
     ClosedRuns,
@@ -26,28 +27,28 @@
     /// When the incarnation that wrote this started, since the Unix epoch; `None` where
     /// the platform does not say.
     pub incarnation_start_ms: Option<u64>,
-    /// Where it is called.
+    /// The address at which it takes calls.
     pub address: String,
     /// The service whose tasks it runs.
     pub service: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Its kind and rack.
+    /// Labels, such as its kind and rack.
     pub labels: Vec<String>,
-    /// What it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// It is leaving.
+    /// Whether it is draining, that is, about to leave.
     pub draining: bool,
-    /// Least time until it leaves, while it drains.
+    /// While it drains, the least time until it leaves.
     pub remaining_ms: Option<u64>,
 }
 
 /// How a run ended on its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndKind {
-    /// The task is done.
+    /// The task completed.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// The task failed, through its own fault or the worker's.
     Failed,
     /// It was stopped by an order.
     Stopped,
@@ -55,12 +56,12 @@
     LeaseExpired,
     /// Another member of its gang ended.
     GangEnded,
-    /// Its gang did not become whole in time.
+    /// The other members of its gang did not start in time.
     GangIncomplete,
 }
 
 impl EndKind {
-    /// The kind as logs and counters name it.
+    /// Returns the name of the kind in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -80,17 +81,17 @@
     pub name: RunName,
     /// Its last checkpoint; empty for none.
     pub checkpoint: Arc<str>,
-    /// How far it is.
+    /// Its progress in percent.
     pub percent: u32,
-    /// Tail of its response times in milliseconds if it serves, else
-    /// thousandths of a core in use, over the last half second.
+    /// Over the last half second: the tail of its response times in milliseconds if the
+    /// task serves requests, otherwise its CPU use in thousandths of a core.
     pub usage: Option<f64>,
 }
 
-/// An end that a worker lists until it is told that the end is known.
+/// The end of a run, which the worker lists until the end is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedRow {
-    /// Number of the end in this incarnation; begins at 1 and rises.
+    /// Number of the end in this incarnation of the worker, starting at 1 and rising.
     pub number: u64,
     /// The run.
     pub name: RunName,
@@ -108,9 +109,9 @@
     /// When the incarnation that answered started, since the Unix epoch; `None` where
     /// the platform does not say.
     pub incarnation_start_ms: Option<u64>,
-    /// What runs there.
+    /// The runs on the worker.
     pub running: Vec<RunningRow>,
-    /// Ends that are not known to be noted.
+    /// Ends that have not been acknowledged yet.
     pub ended: Vec<EndedRow>,
 }
 
@@ -119,22 +120,22 @@
 pub enum StartRefusal {
     /// The worker has seen a higher epoch.
     Fenced,
-    /// A run as high as this one was stopped or ended there.
+    /// A run of the task with this number or a higher one was stopped or ended there.
     OldRun,
     /// The order's deadline has passed.
     Late,
-    /// The worker has too little room.
+    /// The worker has too little free capacity.
     NoRoom,
-    /// The approval for this worker is missing or over.
+    /// The approval for this worker is missing or has expired.
     NoTicket,
     /// The order was malformed.
     Malformed,
-    /// The worker says that it is unhealthy.
+    /// The worker reports that it is unhealthy.
     Unhealthy,
 }
 
 impl StartRefusal {
-    /// The reason as logs and counters name it.
+    /// Returns the name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fenced => "fenced",
@@ -148,16 +149,16 @@
     }
 }
 
-/// What became of a call to a worker.
+/// The outcome of a call to a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
-    /// It was carried out.
+    /// The call was carried out.
     Done,
-    /// It was refused and nothing was done.
+    /// The call was refused and nothing was done.
     Refused(StartRefusal),
-    /// The worker's incarnation is over: nothing of it runs any more.
+    /// Another incarnation of the worker answered: no run of the earlier one is left.
     OtherIncarnation,
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer came: the call may have been carried out, or may be later.
     NoAnswer,
 }
 
@@ -166,45 +167,44 @@
 pub enum Input {
     /// A version of the configuration.
     Configure(Arc<ClusterConfiguration>),
-    /// All orders to empty data centres that are in force were read.
+    /// All orders to empty data centres that are in force have been read.
     EmptyingOrdersRead {
         /// The orders.
         orders: Vec<EmptyingOrder>,
-        /// They are known as they were at this time, or later.
+        /// The orders were in force at this time or later.
         checked_ms: u64,
     },
-    /// A job that is stored; told again, it changes nothing.
+    /// A job is stored. Has no effect on a job that is known already.
     JobStored {
-        /// Its name.
+        /// The job.
         id: JobId,
-        /// What was stored.
+        /// What was stored when the job was accepted.
         record: Arc<JobRecord>,
-        /// What an earlier owner noted of it.
+        /// The progress that an earlier owner stored.
         progress: Option<ProgressRecord>,
     },
     /// The job's cancellation is stored.
     JobCancelled(JobId),
-    /// All jobs that were stored before `sent_ms` are told.
+    /// All jobs that were stored before `sent_ms` have been passed in.
     JobsRead {
         /// When the store was asked.
         sent_ms: u64,
     },
-    /// A worker is registered, or its entry changed.
+    /// A worker registered, or its entry changed.
     WorkerRegistered(WorkerInfo),
     /// A worker on the stored roster: earlier owners used it, and it may still run
     /// what they started.
     RosterWorker {
         /// The worker's name.
         worker_name: String,
-        /// Where it was called.
+        /// The address at which it was called.
         address: String,
-        /// Runs that may be there, if the store says that it got no more
-        /// starts.
+        /// If the worker is stored as closed to new starts: the runs that may be there.
         closed_runs: Option<ClosedRuns>,
     },
     /// The worker's entry is gone.
     WorkerUnlisted(String),
-    /// All entries that were there at `sent_ms` are told.
+    /// All entries that existed at `sent_ms` have been passed in.
     EntriesRead {
         /// When the store was asked.
         sent_ms: u64,
@@ -213,24 +213,24 @@
     WorkerEntryUnusable {
         /// The name in the entry's key.
         worker_name: String,
-        /// Why, as logs and counters name it.
+        /// Why, as logs and metrics name it.
         reason: &'static str,
     },
     /// A stored value of a job cannot be decoded: its progress is unknown.
     JobUnreadable(JobId),
-    /// The values of a job that could not be decoded now can be.
+    /// The stored values of a job that was unreadable can now be decoded.
     JobReadable {
-        /// Its name.
+        /// The job.
         id: JobId,
-        /// What was stored.
+        /// What was stored when the job was accepted.
         record: Arc<JobRecord>,
-        /// What an earlier owner noted of it.
+        /// The progress that an earlier owner stored.
         progress: Option<ProgressRecord>,
     },
     /// The stored roster cannot be decoded: earlier owners may have used any worker.
     RosterUnreadable,
-    /// Beside a roster that does not read, the store says that a worker got no
-    /// more starts; where it is called is told by its entry, if it has one.
+    /// While the stored roster is unreadable: a worker is stored as closed to new
+    /// starts. Its address is known only from its entry, if it has one.
     ClosedWorker {
         /// The worker's name.
         worker_name: String,
@@ -239,7 +239,7 @@
     },
     /// Everything that was stored before this owner began has been passed in.
     StoredStateRead {
-        /// The process of the earlier owner has certainly ended.
+        /// The process of the earlier owner is known to have ended.
         earlier_owner_over: bool,
     },
     /// The roster with these names is durable.
@@ -257,7 +257,7 @@
     PollFailed {
         /// The worker.
         worker: WorkerKey,
-        /// Why: never `Done`.
+        /// Why the poll failed; never [`CallOutcome::Done`].
         outcome: CallOutcome,
     },
     /// The outcome of a start order.
@@ -266,7 +266,7 @@
         worker: WorkerKey,
         /// The run.
         name: RunName,
-        /// What became of it.
+        /// The outcome of the call.
         outcome: CallOutcome,
     },
     /// The outcome of a stop order.
@@ -275,7 +275,7 @@
         worker: WorkerKey,
         /// The run.
         name: RunName,
-        /// What became of it.
+        /// The outcome of the call.
         outcome: CallOutcome,
     },
     /// The outcome of a throttle order.
@@ -284,16 +284,16 @@
         worker: WorkerKey,
         /// The run.
         name: RunName,
-        /// What became of it.
+        /// The outcome of the call.
         outcome: CallOutcome,
     },
-    /// A policy outside named the workers that may run a step.
+    /// An external placement policy answered which workers may run a step.
     AdviceResult {
-        /// The step: the index of the task means nothing.
+        /// The step of one occurrence.
         step: super::GroupKey,
-        /// The workers asked about.
+        /// The workers that the policy was asked about.
         asked: Vec<WorkerKey>,
-        /// Approved workers with their tickets; `None` when nobody answered.
+        /// Names and tickets of the approved workers; `None` if no answer came.
         approved: Option<Vec<(String, Arc<str>)>>,
     },
     /// The store has recorded whether a worker is closed to new starts.
@@ -312,11 +312,11 @@
     },
     /// An upkeep wave was ordered.
     UpkeepWave(WaveOrder),
-    /// The platform's list of machines, or that it did not come.
+    /// The answer to a request for the platform's list of machines.
     MachineList {
-        /// When it was asked for.
+        /// When the request was sent.
         sent_ms: u64,
-        /// The machines.
+        /// The machines; `None` if no answer came.
         machines: Option<Vec<MachineInfo>>,
     },
     /// The outcome of an upkeep order.
@@ -325,10 +325,10 @@
         wave: u64,
         /// The machine.
         machine: String,
-        /// What became of it.
+        /// The outcome of the order.
         outcome: UpkeepOutcome,
     },
-    /// Everything that was stored of the job is deleted.
+    /// All stored data of the job has been deleted.
     JobDeleted(JobId),
     /// The store confirmed this owner's epoch at this time.
     EpochConfirmed(u64),
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,5 +1,7 @@
-//! A job from the moment at which the scheduler learns of it to its end: done,
-//! failed or cancelled. The module `occurrence` has what runs of it between.
+//! Tracks a job from when the scheduler learns of it until it completes, fails or is
+//! cancelled. The module `occurrence` covers the runs of its occurrences.
+//!
+//! A job that completes or fails is shown as ended only once that is durable.
 
 use super::action::{
     Decision,
@@ -26,31 +28,31 @@
 use crate::core::JobId;
 use std::sync::Arc;
 
-/// A job whose work is this many times its queue's mean earns no more.
+/// Work beyond this many times the mean of the queue adds nothing to a job's utility.
 const MAX_WORK_RATIO: f64 = 4.0;
 
-/// A job.
+/// A job and its state in memory.
 #[derive(Clone, Debug)]
 pub struct GraphJob {
-    /// Its name.
+    /// Its id.
     pub id: JobId,
-    /// What its caller asked for.
+    /// The job as it was stored when it was accepted.
     pub record: Arc<JobRecord>,
-    /// The terms of its queue; `None` while nobody could tell this owner.
+    /// The terms of its queue; `None` while they are unknown to this owner.
     pub terms: Option<VersionedTerms>,
     /// Priority of its queue.
     pub priority: u32,
     /// When the scheduler learned of it.
     pub known_ms: u64,
-    /// An earlier owner may know it as well.
+    /// An earlier owner may know it as well, and may have started tasks of it.
     pub known_earlier: bool,
     /// Its caller cancelled it.
     pub cancelled: bool,
-    /// How it ended by itself.
+    /// How it ended, unless it was cancelled.
     pub ended: Option<FinalState>,
     /// When it ended or was cancelled.
     pub ended_ms: u64,
-    /// A task has begun.
+    /// Whether a task has begun.
     pub started: bool,
     /// The next occurrence to open.
     pub next_occurrence: u32,
@@ -64,15 +66,15 @@
     pub stored: u64,
     /// Work of an occurrence in thousandths of a core times milliseconds.
     pub work: f64,
-    /// Accelerators of its first step.
+    /// Accelerators that all tasks of its first step need together.
     pub first_step_accelerators: u32,
     /// Steps, shared with the groups.
     pub steps: Vec<Arc<StepSpec>>,
-    /// What was stored of it, for the occurrences that open.
+    /// The progress that an earlier owner stored, applied to occurrences as they open.
     pub(super) restored: Option<ProgressRecord>,
 }
 
-/// What a caller may be told of a job.
+/// The status of a job that is reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobStatus {
     /// No task has begun.
@@ -88,12 +90,14 @@
 }
 
 impl GraphJob {
-    /// Whether nothing of it may start any more.
+    /// Returns whether the job has ended or was cancelled, so that none of its tasks may
+    /// start any more.
     pub fn is_over(&self) -> bool {
         self.cancelled || self.ended.is_some()
     }
 
-    /// What its caller may be told: an end only once it is durable.
+    /// Returns the status that is reported to callers: completed or failed only once that
+    /// is durable.
     pub fn status(&self) -> JobStatus {
         match self.ended {
             _ if self.cancelled => JobStatus::Cancelled,
@@ -104,38 +108,38 @@
         }
     }
 
-    /// The terms of its queue, as far as they are known.
+    /// Returns the terms of its queue, if they are known.
     pub fn terms(&self) -> Option<&QueueTerms> {
         self.terms.as_ref().map(|known| &*known.terms)
     }
 
-    /// Whether it is urgent work that counts against its account's guarantee.
+    /// Returns whether it is urgent work, which counts against its account's guarantee.
     pub fn is_urgent(&self) -> bool {
         self.priority == 0
     }
 }
 
 impl Scheduler {
-    /// Takes in a stored job; one that is known stays as it is.
+    /// Adds a stored job. A job that is known already stays as it is.
     pub(super) fn handle_job_stored(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
         progress: Option<ProgressRecord>,
     ) {
-        // A job that is being forgotten is read again as long as it is stored,
-        // without what was noted of it; taken for a new one it would run again.
+        // A job that is being deleted may be read again while its record is still stored
+        // and its progress is not. Treated as new, it would run again.
         if self.jobs.contains_key(&id) || self.deleting_jobs.contains_key(&id) {
             return;
         }
         let terms = self.terms_of(&record);
         let steps: Vec<Arc<StepSpec>> = record.spec.steps.iter().cloned().map(Arc::new).collect();
         let run_ms = |step: &StepSpec| {
-            let believed = self.run_time_of(&record.queue, step.estimated_ms);
-            believed.value()
+            let predicted = self.run_time_of(&record.queue, step.estimated_ms);
+            predicted.value()
         };
         let work = work_of(&steps, run_ms);
-        self.note_work(&record.queue, work);
+        self.record_work(&record.queue, work);
         let progress = progress.unwrap_or_default();
         let first = steps.first();
         let job = GraphJob {
@@ -165,11 +169,11 @@
         self.jobs.insert(id, job);
         if !over {
             if !known {
-                self.note_unknown_terms(id);
+                self.log_unknown_terms(id);
             }
             self.open_occurrences(id);
         }
-        self.take_early_ends(id);
+        self.handle_early_ends(id);
         self.end_job_if_done(id);
         self.changed = true;
     }
@@ -183,7 +187,7 @@
         self.end_job(id, FinalState::Completed, None);
     }
 
-    /// Ends a job by itself: nothing of it starts any more.
+    /// Ends a job as completed or failed: none of its tasks starts any more.
     pub(super) fn end_job(&mut self, id: JobId, state: FinalState, failure: Option<JobFailure>) {
         let now_ms = self.now_ms;
         let job = self.job_mut(id);
@@ -200,12 +204,12 @@
         self.close_job(id, name, failure);
     }
 
-    /// Takes in a stored cancellation.
+    /// Applies a stored cancellation, or remembers it until the job is known.
     pub(super) fn cancel_job(&mut self, id: JobId) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(&id) else {
             self.cancelled_early.insert(id);
-            self.unread_job_cancelled(id);
+            self.handle_unreadable_job_cancelled(id);
             return;
         };
         if job.is_over() {
@@ -216,6 +220,7 @@
         self.close_job(id, "cancelled", None);
     }
 
+    /// Stops the runs of a job that has ended and removes its groups.
     fn close_job(&mut self, id: JobId, state: &'static str, failure: Option<JobFailure>) {
         self.decided(Decision::JobEnded {
             job: id,
@@ -231,7 +236,7 @@
         self.changed = true;
     }
 
-    /// Stops whatever runs of a group.
+    /// Stops all runs of a group.
     pub(super) fn stop_group(&mut self, key: GroupKey, reason: StopReason) {
         let Some(group) = self.groups.get(&key) else {
             return;
@@ -248,7 +253,8 @@
         }
     }
 
-    /// Marks a job as changed; the change's number is returned.
+    /// Requests that the changed progress of a job is stored, and returns the number of
+    /// the change.
     pub(super) fn job_changed(&mut self, id: JobId) -> u64 {
         let job = self.job_mut(id);
         job.change += 1;
@@ -257,13 +263,13 @@
         change
     }
 
-    /// Everything up to `change` of a job is durable.
+    /// Records that the progress of a job up to `change` is durable.
     pub(super) fn handle_progress_stored(&mut self, id: JobId, change: u64) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         job.stored = job.stored.max(change);
-        // A task that waited for its last crash to be stored may start.
+        // A task that waited until its last crash was stored may start now.
         let waited = {
             let mut keys = self.groups_of(id);
             keys.any(|key| self.groups[&key].crash_change > 0)
@@ -272,7 +278,8 @@
         self.acknowledge_ends();
     }
 
-    /// What has to be stored of a job, and the number of its last change.
+    /// Returns the progress of a job to be stored, with the number of its last change;
+    /// `None` for an unknown job.
     pub fn progress(&self, id: JobId) -> Option<(u64, ProgressRecord)> {
         let job = self.jobs.get(&id)?;
         let groups = self.groups_of(id);
@@ -286,7 +293,7 @@
         Some((job.change, record))
     }
 
-    /// The groups of a job that are open.
+    /// Returns the open groups of a job.
     pub(super) fn groups_of(&self, id: JobId) -> impl Iterator<Item = GroupKey> + '_ {
         let from = GroupKey {
             job: id,
@@ -299,12 +306,12 @@
             .take_while(move |key| key.job == id)
     }
 
-    /// What a caller may be told of a job.
+    /// Returns the status of a job for its caller; `None` for an unknown job.
     pub fn job_status(&self, id: JobId) -> Option<JobStatus> {
         self.jobs.get(&id).map(GraphJob::status)
     }
 
-    /// Accepted jobs of a queue of which no task has begun.
+    /// Counts the jobs of a queue that have not ended and of which no task has begun.
     pub fn pending(&self, queue: &str) -> usize {
         self.jobs
             .values()
@@ -313,15 +320,16 @@
     }
 }
 
-/// Work of an occurrence in thousandths of a core times milliseconds.
+/// Returns the work of an occurrence in thousandths of a core times milliseconds.
 fn work_of(steps: &[Arc<StepSpec>], run_ms: impl Fn(&StepSpec) -> f64) -> f64 {
     let work =
         |step: &Arc<StepSpec>| step.needs.weight() as f64 * f64::from(step.count) * run_ms(step);
     steps.iter().map(work).sum::<f64>().max(1.0)
 }
 
-/// A job's worth against the mean of its queue: small jobs have a part of
-/// their own, and very large ones earn no more than four means.
+/// Returns the utility of a job in proportion to the mean of its queue. A fixed part keeps
+/// small jobs from having none, and the work counts up to [`MAX_WORK_RATIO`] times the
+/// mean.
 pub(super) fn utility_ratio(work: f64, mean_work: f64) -> f64 {
     const FIXED_PART: f64 = 0.3;
     FIXED_PART + (1.0 - FIXED_PART) * (work / mean_work.max(1.0)).min(MAX_WORK_RATIO)
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -1,4 +1,4 @@
-//! What is stored of a job's progress, and how it is read back.
+//! The stored form of a job's progress, and how it is restored.
 
 use super::{
     CrashedRun,
@@ -11,9 +11,10 @@
     Serialize, //
 };
 
+/// Bits in a word of [`GroupProgress::done`].
 const WORD_BITS: u32 = 64;
 
-/// How a job ended by itself.
+/// How a job ended, unless it was cancelled.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum FinalState {
     /// All tasks are done.
@@ -27,7 +28,7 @@
 pub struct TaskFailures {
     /// The task.
     pub index: u32,
-    /// The runs that failed, so that an end that is listed again after a
+    /// Numbers of the runs that failed, so that an end that is listed again after a
     /// change of owner is not counted again.
     pub runs: Vec<u64>,
 }
@@ -37,9 +38,9 @@
 pub struct TaskCrashes {
     /// The task.
     pub index: u32,
-    /// The runs.
+    /// Numbers of the runs whose worker crashed.
     pub runs: Vec<u64>,
-    /// Those of them that their workers did not outlive the start of.
+    /// Those of `runs` whose worker is not known to have outlived the start.
     pub at_start: Vec<u64>,
 }
 
@@ -69,28 +70,30 @@
     pub occurrence: u32,
     /// The step.
     pub step: u32,
-    /// A bit for each task that is done.
+    /// A bit for each task that is done: task `index` has bit `index % 64` of word
+    /// `index / 64`. Trailing words without a bit may be missing.
     pub done: Vec<u64>,
     /// Tasks with failures.
     pub failures: Vec<TaskFailures>,
-    /// Tasks with crashes of their workers; none where an earlier version stored it.
+    /// Tasks with crashes of their workers; empty in values that an older version of the
+    /// program stored.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<TaskCrashes>,
 }
 
-/// Progress of a job, as it is stored.
+/// The stored progress of a job.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ProgressRecord {
     /// How it ended, if it did.
     pub ended: Option<FinalState>,
     /// Occurrences that are done.
     pub done_occurrences: Vec<u32>,
-    /// Groups that have begun to end.
+    /// Progress of the groups with a task that is done, has failed or crashed a worker.
     pub groups: Vec<GroupProgress>,
 }
 
 impl GroupProgress {
-    /// The progress of `group`; `None` if there is none.
+    /// Returns the progress of `group`; `None` if there is none.
     pub fn of(group: &Group) -> Option<Self> {
         let mut progress = Self {
             occurrence: group.key.occurrence,
@@ -122,8 +125,8 @@
         (!empty).then_some(progress)
     }
 
-    /// Brings a new group to this progress. Parts that name no task of the
-    /// group are passed over.
+    /// Restores this progress in a new group. Entries for tasks that the group does not
+    /// have are ignored.
     pub fn restore(&self, group: &mut Group) {
         for index in 0..group.tasks.len() as u32 {
             let word = self.done.get((index / WORD_BITS) as usize);
@@ -149,7 +152,7 @@
 }
 
 impl ProgressRecord {
-    /// The highest number of a run that it names; 0 for none.
+    /// Returns the highest number of a run that it contains; 0 for none.
     pub fn highest_run(&self) -> u64 {
         let groups = self.groups.iter();
         let runs = groups.flat_map(|group| {
@@ -159,7 +162,7 @@
         runs.copied().max().unwrap_or(0)
     }
 
-    /// What is noted of a group.
+    /// Returns the progress of a group, if there is any.
     pub fn group(&self, key: GroupKey) -> Option<&GroupProgress> {
         self.groups
             .iter()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,8 +1,9 @@
-//! The scheduler of job graphs: pure, single-threaded, without I/O and clock.
+//! Schedules job graphs on the workers of one fleet.
 //!
-//! A [`Scheduler`] holds every job, worker and run of one fleet. It takes an
-//! [`Input`] and the current time and returns the [`Action`]s to carry out.
-//! The daemon, the replay of loads and the tests of failures run this code.
+//! A [`Scheduler`] holds every job, worker and run of the fleet. It takes
+//! [`Input`]s and the current time and returns the [`Action`]s to carry out. It is
+//! single-threaded, does no I/O and reads no clock, so the daemon, the replay of job
+//! loads and the failure tests all run the same code.
 
 mod acknowledgement;
 mod action;
--- a/src/scheduler/occurrence.rs
+++ b/src/scheduler/occurrence.rs
@@ -1,5 +1,5 @@
-//! The occurrences of a job: they open when they are due, release their steps
-//! one after the other, and end when all of them are done.
+//! Opens the occurrences of jobs when they are due, releases their steps in the order of
+//! the graph, and ends an occurrence when all its steps are done.
 
 use super::action::Decision;
 use super::job::GraphJob;
@@ -20,44 +20,45 @@
 };
 use std::sync::Arc;
 
-/// Occurrences of one job that are kept in memory at a time; later ones wait.
+/// Most open occurrences of one job at a time, to bound memory; later ones wait.
 const MAX_OPEN_OCCURRENCES: usize = 64;
-/// A step wider than this part of the fleet's room runs in waves.
+/// Share of the fleet's capacity that one step is assumed to get; a wider step runs in
+/// waves.
 const WAVE_SHARE: f64 = 0.25;
 
-/// What the groups of an occurrence have in common when it opens.
+/// What the groups of an occurrence share when the occurrence opens.
 struct Opening {
     job: JobId,
     occurrence: u32,
     due_ms: u64,
     objective_length_ms: u64,
-    /// How long a task of each step takes.
+    /// The predicted run time of a task of each step.
     run_times: Vec<LogEstimate>,
-    /// Its tasks may run where this owner cannot look yet.
+    /// Whether its tasks may be running on workers that this owner has not reached yet.
     recovering: bool,
 }
 
-/// A run on a worker, found there or noted.
+/// A run that is, or may be, on a worker.
 struct FoundRun {
     worker: WorkerKey,
     name: RunName,
-    /// It is not only noted: its worker has shown it.
+    /// Whether the worker has listed the run; otherwise it is only known from the store.
     seen: bool,
 }
 
 impl GraphJob {
-    /// How many occurrences it has.
+    /// Returns the number of its occurrences.
     pub(super) fn repetitions(&self) -> u32 {
         let schedule = self.record.spec.schedule.as_ref();
         schedule.map_or(1, |schedule| schedule.repetitions.max(1))
     }
 
-    /// Whether an occurrence is open, or was.
+    /// Returns whether an occurrence is open or done.
     fn has_opened(&self, occurrence: u32) -> bool {
         self.done_occurrences.contains(&occurrence) || self.open_occurrences.contains(&occurrence)
     }
 
-    /// When an occurrence is due.
+    /// Returns when an occurrence is due.
     fn due_ms(&self, occurrence: u32, now_ms: u64) -> u64 {
         match &self.record.spec.schedule {
             Some(schedule) => schedule.due_ms(occurrence),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The groups of an occurrence, one for each step.
+    /// Returns the keys of an occurrence's groups, one for each step.
     fn group_keys(&self, occurrence: u32) -> impl Iterator<Item = GroupKey> + Clone + use<> {
         let job = self.id;
         (0..self.steps.len() as u32).map(move |step| GroupKey {
@@ -77,7 +78,7 @@
 }
 
 impl Scheduler {
-    /// Opens the occurrences that are due and asks to be woken for the next.
+    /// Opens the occurrences of a job that are due, and schedules the opening of the next.
     pub(super) fn open_occurrences(&mut self, id: JobId) {
         loop {
             let Some(job) = self.jobs.get(&id) else {
@@ -101,17 +102,17 @@
         }
     }
 
-    /// Opens the occurrence of an end that was listed, unless it was open: an
-    /// earlier owner ran it, by a clock that was ahead or since others were done.
-    /// Not counted, the end would be lost, and its task would run again when the
-    /// occurrence opens.
+    /// Opens the occurrence to which a listed end belongs, unless it is open or done
+    /// already. An earlier owner had opened it, because its clock was ahead or because
+    /// other occurrences were done. Without this the end would be lost, and its task would
+    /// run again once the occurrence opens.
     pub(super) fn open_for_end(&mut self, key: GroupKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
         let (id, occurrence) = (key.job, key.occurrence);
-        let is_one = occurrence < job.repetitions();
-        if is_one && !job.is_over() && !job.has_opened(occurrence) {
+        let exists = occurrence < job.repetitions();
+        if exists && !job.is_over() && !job.has_opened(occurrence) {
             let due_ms = job.due_ms(occurrence, self.now_ms);
             self.open_occurrence(id, occurrence, due_ms);
         }
@@ -130,15 +131,16 @@
         for group in groups {
             let key = group.key;
             self.groups.insert(key, group);
-            self.claim_found_runs(key);
+            self.assign_found_runs(key);
         }
         self.job_mut(id).open_occurrences.push(occurrence);
         for key in keys {
-            self.release_after(key);
+            self.release_ready_steps(key);
         }
         self.end_occurrence_if_done(id, occurrence);
-        // An owner that knew no terms counted failures and judged none.
-        self.end_job_if_spent(id);
+        // An owner without the terms of the queue may have counted failures without
+        // ending the job.
+        self.end_job_if_exhausted(id);
         self.changed = true;
     }
 
@@ -170,24 +172,26 @@
         }
     }
 
-    /// Runs of an earlier owner that were found before their job was known are
-    /// being stopped; their tasks wait for them, or they would run twice.
-    fn claim_found_runs(&mut self, key: GroupKey) {
+    /// Assigns to the tasks of a new group the runs of an earlier owner that were found
+    /// before their job was known. Those that a worker listed are being stopped; a task
+    /// waits until its run is over, since it would run twice otherwise.
+    fn assign_found_runs(&mut self, key: GroupKey) {
         let mut found = self.found_runs(key);
         let Some(group) = self.groups.get_mut(&key) else {
             return;
         };
-        // An owner gives a run only after those before it are over, so of runs that
-        // were only noted the newest holds the task: held by an earlier one, the
-        // task would start again once that is known to be over.
+        // An owner starts a run only after the earlier runs of the task are over, so of
+        // runs that are only known from the store the newest is assigned to the task.
+        // Assigned to an older run, the task would start again once that run is known to be
+        // over.
         found.sort_by_key(|found| std::cmp::Reverse(found.name.run));
         let newest = found.first().map_or(0, |found| found.name.run);
         for run in &found {
-            claim(group, run, newest);
+            assign_found_run(group, run, newest);
         }
     }
 
-    /// Runs of a group's tasks that are, or may be, on workers.
+    /// Returns the runs of a group's tasks that are, or may be, on workers.
     fn found_runs(&self, key: GroupKey) -> Vec<FoundRun> {
         let first = RunName {
             task: key.task(0),
@@ -207,18 +211,20 @@
             .collect()
     }
 
-    /// The time that a job has until it is late; the chain of its work alone
-    /// while the terms of its queue are not known.
+    /// Returns the time from when an occurrence is due until it is late: its critical path,
+    /// stretched and extended by the terms of its queue. While the terms are unknown it is
+    /// the critical path alone.
     fn objective_length_ms(&self, job: &GraphJob, run_times: &[LogEstimate]) -> u64 {
-        let chain_ms = self.chain_ms(&job.steps, run_times);
+        let critical_path_ms = self.critical_path_ms(&job.steps, run_times);
         let (stretch, extra_ms) = job.terms().map_or((1.0, 0), |terms| {
             (terms.stretch_factor.max(1.0), terms.target_latency_ms)
         });
-        (stretch * chain_ms) as u64 + extra_ms
+        (stretch * critical_path_ms) as u64 + extra_ms
     }
 
-    /// Reckons the objective of an occurrence anew, since more is known of how
-    /// long its tasks take: the operators' terms go by the true work.
+    /// Recomputes the objective of an occurrence after the run times of its tasks became
+    /// better known or the terms of its queue changed: the terms relate to the actual work,
+    /// not to the caller's estimate.
     pub(super) fn refresh_objective(&mut self, id: JobId, occurrence: u32) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -240,32 +246,33 @@
         }
     }
 
-    /// The longest chain of work, wide steps in waves.
-    fn chain_ms(&self, steps: &[Arc<StepSpec>], run_times: &[LogEstimate]) -> f64 {
-        let room = self.room_for_terms();
+    /// Returns the length of the critical path of the steps, where wide steps run in waves.
+    fn critical_path_ms(&self, steps: &[Arc<StepSpec>], run_times: &[LogEstimate]) -> f64 {
+        let capacity = self.room_for_terms();
         let mut ends: Vec<f64> = Vec::with_capacity(steps.len());
         for (step, run_time) in steps.iter().zip(run_times) {
-            let begins = step.after.iter().map(|&at| ends.get(at as usize).copied());
-            let begin = begins.flatten().fold(0.0, f64::max);
-            let fits = f64::from(room.times(&step.resources()).max(1)) * WAVE_SHARE;
-            let waves = (f64::from(step.count) / fits.max(1.0)).ceil().max(1.0);
-            ends.push(begin + run_time.value() * waves);
+            let dependency_ends = step.after.iter().map(|&at| ends.get(at as usize).copied());
+            let start = dependency_ends.flatten().fold(0.0, f64::max);
+            let parallel_tasks = f64::from(capacity.times(&step.resources()).max(1)) * WAVE_SHARE;
+            let waves = (f64::from(step.count) / parallel_tasks.max(1.0))
+                .ceil()
+                .max(1.0);
+            ends.push(start + run_time.value() * waves);
         }
         ends.into_iter().fold(0.0, f64::max)
     }
 
-    /// Releases the steps that only waited for `done`, or `done` itself if it
-    /// waits for nothing that is open.
-    fn release_after(&mut self, done: GroupKey) {
-        let Some(job) = self.jobs.get(&done.job) else {
+    /// Releases the steps of the occurrence of `key` whose dependencies are all done.
+    fn release_ready_steps(&mut self, key: GroupKey) {
+        let Some(job) = self.jobs.get(&key.job) else {
             return;
         };
-        let key_of = |step: u32| GroupKey { step, ..done };
+        let key_of = |step: u32| GroupKey { step, ..key };
         let is_done = |step: u32| self.groups.get(&key_of(step)).is_none_or(Group::is_done);
         let ready: Vec<u32> = (0..job.steps.len() as u32)
             .filter(|&step| {
                 let after = &job.steps[step as usize].after;
-                !after.is_empty() && after.iter().all(|&before| is_done(before))
+                !after.is_empty() && after.iter().all(|&dependency| is_done(dependency))
             })
             .collect();
         for step in ready {
@@ -278,9 +285,10 @@
         }
     }
 
-    /// Follows up on a group whose last task is done.
+    /// Releases the next steps, and ends the occurrence and the job if they are done, after
+    /// the last task of a group is done.
     pub(super) fn group_done(&mut self, key: GroupKey) {
-        self.release_after(key);
+        self.release_ready_steps(key);
         self.end_occurrence_if_done(key.job, key.occurrence);
     }
 
@@ -304,7 +312,7 @@
     }
 }
 
-/// The tasks of a step in an occurrence that opens, with what was stored of them.
+/// Creates the group of a step in an opening occurrence, with its stored progress.
 fn new_group(
     job: &GraphJob,
     opening: &Opening,
@@ -344,9 +352,9 @@
     group
 }
 
-/// Holds a run's task for it, unless the run is known to be over; `newest` is the
+/// Assigns a found run to its task, unless the run is known to be over. `newest` is the
 /// highest number of a run that was found of the group.
-fn claim(group: &mut Group, found: &FoundRun, newest: u64) {
+fn assign_found_run(group: &mut Group, found: &FoundRun, newest: u64) {
     let index = found.name.task.index;
     let run = found.name.run;
     let Some(task) = group.tasks.get_mut(index as usize) else {
@@ -362,7 +370,7 @@
     group.set_state(index, TaskState::Placed { worker, run });
     if group.step.gang {
         group.gang_run = Some(run);
-        // What was seen is being stopped; what was not may go on.
+        // A run that its worker listed is being stopped; one that was not may go on.
         group.gang_ending |= found.seen;
     }
 }
--- a/src/scheduler/queue_terms.rs
+++ b/src/scheduler/queue_terms.rs
@@ -1,12 +1,13 @@
-//! What jobs are held to: the terms of their queues.
+//! Finds the terms of the queue that apply to each job, and applies the allowed number
+//! of attempts.
 //!
-//! They are stored with each job when it is accepted, since an owner may have read
+//! The terms are stored with each job when it is accepted, since an owner may have read
 //! no configuration yet, an older one than the daemon that accepted the job, or a
-//! newer one without the queue. A configuration that is not older goes before what
-//! was stored. Where neither tells, the job waits: it is not started, and its
-//! failures are counted but do not end it. Any default would decide for good, since
-//! an end is stored: a job with attempts left was shown as failed by an owner that
-//! took an unknown queue for one with a single attempt.
+//! newer one without the queue. A configuration takes precedence over the stored terms
+//! unless it is older. While a job's terms are known from neither, the job waits: it is
+//! not started, and its failures are counted but do not end it. Default terms would not
+//! be safe, since the end of a job is stored and final: with a default of one attempt, a
+//! job of an unknown queue would fail although it has attempts left.
 
 use super::action::{
     Decision,
@@ -24,19 +25,20 @@
 };
 use crate::core::JobId;
 
-/// Priority of a job whose queue is not known: below urgent work, so that it does
+/// Priority of a job whose terms are unknown: below urgent work, so that the job does
 /// not count against its account's guarantee.
 const UNKNOWN_PRIORITY: u32 = 1;
-/// Priority of its runs: they may be urgent, so only guaranteed work takes their room.
+/// Priority of the runs of a job whose terms are unknown: they may be urgent, so only
+/// guaranteed work may preempt them.
 const UNKNOWN_RUN_PRIORITY: u32 = 0;
 
-/// The priority that terms give, if they are known.
+/// Returns the priority of a job under these terms.
 pub(super) fn priority_under(known: Option<&VersionedTerms>) -> u32 {
     known.map_or(UNKNOWN_PRIORITY, |known| known.terms.priority)
 }
 
 impl GraphJob {
-    /// The priority of its runs.
+    /// Returns the priority of its runs.
     pub(super) fn run_priority(&self) -> u32 {
         match self.terms {
             Some(_) => self.priority,
@@ -44,18 +46,18 @@
         }
     }
 
-    /// Whether a task that failed so often has spent its attempts; not while
-    /// nobody knows how many it has.
-    fn is_spent(&self, failures: usize) -> bool {
+    /// Returns whether a task with this number of failures has exhausted its attempts;
+    /// false while the terms of the queue are unknown.
+    fn has_exhausted_attempts(&self, failures: usize) -> bool {
         let terms = self.terms();
         terms.is_some_and(|terms| failures as u32 >= terms.max_attempts)
     }
 }
 
 impl Scheduler {
-    /// The terms of a job's queue, as far as anybody told this owner: the newest
-    /// version that it has read and that has the queue, or that under which the job
-    /// was accepted.
+    /// Returns the newest known terms of a job's queue: those of the newest version of the
+    /// configuration that this owner has read and that has the queue, or those under which
+    /// the job was accepted.
     pub(super) fn terms_of(&self, record: &JobRecord) -> Option<VersionedTerms> {
         let configured = self.terms.get(&record.queue);
         let accepted = record.accepted_under.as_ref();
@@ -65,8 +67,8 @@
             .cloned()
     }
 
-    /// Says that a job waits for the terms of its queue.
-    pub(super) fn note_unknown_terms(&mut self, id: JobId) {
+    /// Logs that a job waits for the terms of its queue.
+    pub(super) fn log_unknown_terms(&mut self, id: JobId) {
         let record = self.jobs[&id].record.clone();
         self.decided(Decision::TermsUnknown {
             job: id,
@@ -75,7 +77,8 @@
         });
     }
 
-    /// A new version is in force: jobs go by the terms that it brings.
+    /// Applies newer terms to all open jobs after a new version of the configuration was
+    /// read.
     pub(super) fn refresh_terms(&mut self) {
         let jobs = self.jobs.values().filter(|job| !job.is_over());
         let newer: Vec<(JobId, VersionedTerms)> = jobs
@@ -102,10 +105,10 @@
             self.refresh_objective(id, occurrence);
         }
         self.refresh_run_priorities(id);
-        // What runs under terms that were known is not ended in the middle of an
-        // attempt by a version that allows fewer: its next failure is judged anew.
+        // If terms were known before, a version that allows fewer attempts does not end the
+        // job during an attempt; the new bound applies from the next failure on.
         if !were_known {
-            self.end_job_if_spent(id);
+            self.end_job_if_exhausted(id);
         }
     }
 
@@ -126,10 +129,10 @@
         }
     }
 
-    /// Ends a job if a task has spent its attempts with this run's failure.
-    pub(super) fn end_job_if_spent_by(&mut self, name: RunName, failures: usize) {
+    /// Fails the job if the failure of this run exhausted the attempts of its task.
+    pub(super) fn end_job_if_exhausted_by(&mut self, name: RunName, failures: usize) {
         let job = &self.jobs[&name.task.job];
-        if !job.is_spent(failures) {
+        if !job.has_exhausted_attempts(failures) {
             return;
         }
         let Some(known) = &job.terms else {
@@ -145,20 +148,21 @@
         self.end_job(name.task.job, FinalState::Failed, Some(failure));
     }
 
-    /// Ends a job of which a task failed too often before its terms were known, or
+    /// Fails a job if a task had exhausted its attempts before the terms became known, or
     /// under an owner that did not know them.
-    pub(super) fn end_job_if_spent(&mut self, id: JobId) {
+    pub(super) fn end_job_if_exhausted(&mut self, id: JobId) {
         let job = &self.jobs[&id];
         if job.is_over() {
             return;
         }
-        let spent = self.groups_of(id).find_map(|key| {
+        let exhausted = self.groups_of(id).find_map(|key| {
             let group = &self.groups[&key];
-            // Lasting tasks fail as often as they like, and what is done is done.
+            // Long-running tasks may fail any number of times, and failures of a task that
+            // is done do not count.
             let tasks = (0u32..).zip(&group.tasks).filter(|(_, task)| {
                 !group.step.long_running
                     && task.state != TaskState::Done
-                    && job.is_spent(task.failed_runs.len())
+                    && job.has_exhausted_attempts(task.failed_runs.len())
             });
             let mut tasks = tasks.map(|(index, task)| (key.task(index), &task.failed_runs));
             tasks.next().map(|(task, runs)| {
@@ -166,8 +170,8 @@
                 (RunName { task, run }, runs.len())
             })
         });
-        if let Some((name, failures)) = spent {
-            self.end_job_if_spent_by(name, failures);
+        if let Some((name, failures)) = exhausted {
+            self.end_job_if_exhausted_by(name, failures);
         }
     }
 }
--- a/src/scheduler/run_ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -1,4 +1,5 @@
-//! Taking in the ends of runs.
+//! Handles the ends of runs: completes or fails their tasks, and gives up gangs of which
+//! a member ended.
 
 use super::acknowledgement::UnacknowledgedEnd;
 use super::action::{
@@ -18,7 +19,7 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// Takes in an end that a worker lists.
+    /// Handles an end that a worker lists, and keeps it until it may be acknowledged.
     pub(super) fn take_end(&mut self, key: WorkerKey, row: EndedRow) {
         let worker = self.worker(key).name();
         self.decided(Decision::Ended {
@@ -28,10 +29,10 @@
             number: row.number,
         });
         let waits_for = self.note_end(key, &row);
-        // `Broken` and `Alone` can themselves result from the crash of another member's
-        // worker.
+        // `GangEnded` and `GangIncomplete` can themselves result from the crash of another
+        // member's worker.
         if !matches!(row.kind, EndKind::GangEnded | EndKind::GangIncomplete) {
-            self.note_gang_ended(row.name);
+            self.mark_gang_ended(row.name);
         }
         self.run_gone(key, row.name);
         let end = UnacknowledgedEnd { row, waits_for };
@@ -39,7 +40,9 @@
         self.with_unacknowledged_ends.insert(key);
     }
 
-    pub(super) fn keep_end_checkpoint(&mut self, row: &EndedRow) {
+    /// Keeps the checkpoint of a run that ended without completing, for the next run of the
+    /// task or of all members of its gang.
+    pub(super) fn record_end_checkpoint(&mut self, row: &EndedRow) {
         if row.checkpoint.is_empty() || row.kind == EndKind::Done {
             return;
         }
@@ -56,8 +59,8 @@
         }
     }
 
-    /// Counts a task as done, and has that stored.
-    pub(super) fn take_done(&mut self, key: WorkerKey, name: RunName) {
+    /// Marks a task as done and requests that this is stored.
+    pub(super) fn handle_done(&mut self, key: WorkerKey, name: RunName) {
         let group_key = GroupKey::of(name.task);
         self.note_success(key);
         self.learn_from_end(key, name);
@@ -74,8 +77,8 @@
             worker: key,
             run: name.run,
         };
-        // A done end whose lease had lapsed comes after the task was started
-        // anew: the new run counts then.
+        // If the lease of this run had expired, the task may have a newer run, which then
+        // counts instead.
         if task.state == TaskState::Done {
             return;
         }
@@ -84,7 +87,7 @@
             return;
         }
         if group.step.gang {
-            self.gang_done(group_key, name.run);
+            self.handle_gang_done(group_key, name.run);
         } else {
             group.set_state(name.task.index, TaskState::Done);
         }
@@ -97,7 +100,7 @@
     /// Marks all runs of a gang as ended, including those on workers that do not respond.
     /// Does nothing unless a member has reported progress: until then, the members may
     /// not have been running together.
-    fn note_gang_ended(&mut self, name: RunName) {
+    fn mark_gang_ended(&mut self, name: RunName) {
         let key = GroupKey::of(name.task);
         let Some(group) = self.groups.get(&key).filter(|group| group.step.gang) else {
             return;
@@ -118,9 +121,9 @@
         }
     }
 
-    /// One end of a gang stands for all: the other members have ended too, but
-    /// their room is free only when their own ends are listed.
-    fn gang_done(&mut self, key: GroupKey, run: u64) {
+    /// Marks all tasks of a gang as done after one member completed. The other members have
+    /// completed too, but their resources are free only when their own ends are listed.
+    fn handle_gang_done(&mut self, key: GroupKey, run: u64) {
         let Some(group) = self.groups.get_mut(&key) else {
             return;
         };
@@ -144,20 +147,20 @@
                 entry.phase = RunPhase::Ending;
             }
         }
-        // Members that were started anew after a lease had lapsed.
+        // Members that were started again after a lease had expired.
         for (worker, name) in newer {
             self.stop_run(worker, name, StopReason::Stray);
         }
     }
 
-    /// Counts a failure of a task, and has that stored.
-    pub(super) fn take_failed(&mut self, key: WorkerKey, name: RunName) {
+    /// Counts a failure of a task and requests that this is stored.
+    pub(super) fn handle_failed(&mut self, key: WorkerKey, name: RunName) {
         let now_ms = self.now_ms;
         let group_key = GroupKey::of(name.task);
         let Some(group) = self.groups.get_mut(&group_key) else {
             return;
         };
-        // A gang fails as one: its first task carries the count.
+        // A gang fails as a whole: the failures are counted on its first task.
         let counted = if group.step.gang { 0 } else { name.task.index };
         let long_running = group.step.long_running;
         let Some(task) = group.tasks.get_mut(counted as usize) else {
@@ -174,11 +177,12 @@
         self.note_failure(key, name);
         self.job_changed(name.task.job);
         if !long_running {
-            self.end_job_if_spent_by(name, failures);
+            self.end_job_if_exhausted_by(name, failures);
         }
     }
 
-    /// A run is off its worker without being done: its task waits again.
+    /// Removes a run from its worker's state. Unless the task is done, it waits again; if
+    /// the run belonged to the current run of a gang, the gang's run is given up.
     pub(super) fn run_gone(&mut self, key: WorkerKey, name: RunName) {
         self.worker_mut(key).remove_run(&name);
         self.changed = true;
@@ -202,8 +206,8 @@
         }
     }
 
-    /// Gives up the run of a gang: the others stop, and once all are off their
-    /// workers the gang waits again.
+    /// Gives up the run of a gang: the remaining members are stopped, and once all are off
+    /// their workers the gang waits again.
     pub(super) fn end_gang(&mut self, key: GroupKey) {
         let Some(group) = self.groups.get_mut(&key) else {
             return;
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -1,4 +1,8 @@
-//! The state of one fleet and the way news changes it.
+//! The state of one fleet, how inputs change it and how decisions are made.
+//!
+//! [`Scheduler::handle`] applies one input. [`Scheduler::decide`] then opens due
+//! occurrences, reviews workers and runs, makes a scheduling pass if one is needed, and
+//! returns the actions.
 
 use super::action::{
     Action,
@@ -36,41 +40,43 @@
 };
 use std::sync::Arc;
 
-/// How often runs and workers are looked through for what has become due.
+/// Interval between reviews of all runs and workers.
 const REVIEW_MS: u64 = 50;
-/// Waiting work is tried again at least this often: what hinders it may pass
-/// with time alone, as a quarantine does.
+/// Longest interval between scheduling passes. Waiting work is retried even without
+/// an input, since some obstacles, such as a quarantine, end by time alone.
 const RETRY_PASS_MS: u64 = 250;
-/// A job that was removed from the store is not taken for a new one for this
-/// long: messages between daemons that name it are seconds old at most.
-const REMOVED_MS: u64 = 30_000;
+/// How long the id of a job that was deleted from the store is remembered, so that
+/// the job is not mistaken for a new one. Messages between daemons that name it are
+/// a few seconds old at most.
+const DELETED_JOB_RETENTION_MS: u64 = 30_000;
 
-/// A thread that wakes up this late was stopped, or its VM was: a successor
-/// starts new work this long after it took over, since by then it is heard.
+/// A gap between two decisions of at least this length may mean that the thread or its
+/// VM was paused. It equals the time after which a successor assumes that this owner
+/// has learned of the takeover and gives no more orders.
 const PAUSE_MS: u64 = super::recovery::DEPOSED_MS;
-/// A pause is so many times longer than the usual time between decisions.
+/// A pause is at least this many times the mean gap between decisions.
 const PAUSE_FACTOR: f64 = 4.0;
-/// Weight of a new gap in the usual one: ten gaps tell what is usual.
+/// Weight of a new gap in the moving average, which thus covers about ten gaps.
 const GAP_WEIGHT: f64 = 0.1;
 
-/// How much is kept in memory.
+/// Numbers of the objects that a scheduler keeps in memory.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Sizes {
-    /// Jobs, those that ended a while ago included.
+    /// Jobs, including those that have ended and are still retained.
     pub jobs: usize,
-    /// Open steps of occurrences.
+    /// Groups of open occurrences, one for each step.
     pub groups: usize,
-    /// Places for workers, those of workers that are gone included.
+    /// Worker slots, including the vacant slots of workers that are gone.
     pub workers: usize,
     /// Jobs whose stored data is being deleted.
     pub deleting_jobs: usize,
-    /// Terms of queues, those of removed queues with jobs included.
+    /// Queues with known terms, including removed queues that still have jobs.
     pub queues: usize,
-    /// Jobs with a stored value that does not read.
+    /// Jobs with a stored value that cannot be decoded.
     pub unreadable_jobs: usize,
 }
 
-/// What was learned of a queue's jobs.
+/// Statistics of the jobs of a queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct QueueHistory {
     pub jobs: f64,
@@ -86,66 +92,72 @@
     pub(super) now_ms: u64,
     pub(super) began_ms: u64,
     pub(super) confirmed_ms: u64,
-    /// When this process last went on after a pause.
+    /// When this process last resumed after a pause.
     pub(super) resumed_ms: u64,
-    /// When it last decided.
-    decided_ms: u64,
-    /// Time between two decisions, as it mostly is.
-    usual_gap_ms: f64,
+    /// When [`Scheduler::decide`] was last called.
+    last_decision_ms: u64,
+    /// Moving average of the time between two decisions.
+    mean_gap_ms: f64,
     pub(super) stored_state_read: bool,
-    /// Until then earlier owners' starts may run where this one cannot look.
+    /// Until this time runs that earlier owners started may still be on workers that this
+    /// owner cannot reach.
     pub(super) recovering_until_ms: Option<u64>,
-    /// From then on nothing runs that an earlier owner gave a lease to.
+    /// When all leases that earlier owners granted have expired.
     pub(super) earlier_leases_over_ms: u64,
-    /// The process of the earlier owner has certainly ended.
+    /// The process of the earlier owner is known to have ended.
     pub(super) earlier_owner_over: bool,
     pub(super) configuration: Arc<ClusterConfiguration>,
-    /// Terms of the queues by name, those of removed queues with jobs included.
+    /// Terms of queues by name, including removed queues that still have jobs.
     pub(super) terms: HashMap<String, VersionedTerms>,
     pub(super) history: HashMap<String, QueueHistory>,
     pub(super) workers: Vec<Worker>,
-    /// What urgent work lately used.
+    /// Resources that urgent work used recently.
     pub(super) demand: Demand,
-    /// Places of workers that are gone, with the times, the oldest first.
+    /// Vacant slots in `workers`, with the time at which each worker was gone, oldest
+    /// first.
     pub(super) vacant: VecDeque<(u64, WorkerKey)>,
     pub(super) worker_index: HashMap<String, WorkerKey>,
-    /// Workers by address, those that are gone included.
+    /// Workers by address, including those that are gone.
     pub(super) address_index: HashMap<String, Vec<WorkerKey>>,
-    /// Workers with ends that are not yet acknowledged.
+    /// Workers with ends that have not been acknowledged yet.
     pub(super) with_unacknowledged_ends: BTreeSet<WorkerKey>,
-    /// All jobs that were stored before then are known.
+    /// All jobs that were stored before this time have been read.
     pub(super) jobs_read_ms: u64,
-    /// What workers said of themselves until then is known.
+    /// How recently the registration entries of the workers were read.
     pub(super) entries_freshness: Freshness,
     pub(super) jobs: BTreeMap<JobId, GraphJob>,
-    /// Jobs with a stored value that does not read.
+    /// Jobs with a stored value that cannot be decoded.
     pub(super) unreadable_jobs: BTreeSet<JobId>,
-    /// The stored roster does not read.
+    /// The stored roster cannot be decoded.
     pub(super) roster_unreadable: bool,
-    /// Closed workers that such a roster may name, with what may run there.
-    pub(super) closed_unlisted: HashMap<String, ClosedRuns>,
+    /// Closed workers that the unreadable roster may name, with the runs that may be
+    /// there.
+    pub(super) closed_without_roster: HashMap<String, ClosedRuns>,
     /// Urgent jobs within their account's guarantee, as of the last pass.
     pub(super) guaranteed: HashSet<JobId>,
+    /// Jobs whose cancellation was read before their record.
     pub(super) cancelled_early: HashSet<JobId>,
     pub(super) groups: BTreeMap<GroupKey, Group>,
-    /// Jobs that are being forgotten, until their removal from the store is
-    /// known and nothing of them can be under way any more.
+    /// Jobs whose stored data is being deleted. The value is the time at which the
+    /// deletion was confirmed; the entry is dropped [`DELETED_JOB_RETENTION_MS`] later.
     pub(super) deleting_jobs: BTreeMap<JobId, Option<u64>>,
     pub(super) upkeep: Upkeep,
-    /// Data centres that get no new tasks.
+    /// Data centres that are being emptied and get no new tasks.
     pub(super) emptying: Emptying,
     /// Polls in flight to workers that have not answered this owner yet.
     pub(super) first_polls: usize,
+    /// When the next occurrences of jobs have to be opened.
     pub(super) due: BTreeSet<(u64, JobId)>,
     pub(super) review_at_ms: u64,
     pub(super) pass_at_ms: u64,
+    /// Something changed that calls for a scheduling pass.
     pub(super) changed: bool,
     pub(super) roster_asked: bool,
     pub(super) actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// An empty scheduler of the owner with this epoch.
+    /// Returns an empty scheduler for the owner with this epoch.
     pub fn new(epoch: u64, tuning: Tuning, now_ms: u64) -> Self {
         Self {
             epoch,
@@ -154,8 +166,8 @@
             began_ms: now_ms,
             confirmed_ms: now_ms,
             resumed_ms: 0,
-            decided_ms: now_ms,
-            usual_gap_ms: 0.0,
+            last_decision_ms: now_ms,
+            mean_gap_ms: 0.0,
             stored_state_read: false,
             recovering_until_ms: None,
             earlier_leases_over_ms: 0,
@@ -173,7 +185,7 @@
             jobs: BTreeMap::new(),
             unreadable_jobs: BTreeSet::new(),
             roster_unreadable: false,
-            closed_unlisted: HashMap::new(),
+            closed_without_roster: HashMap::new(),
             guaranteed: HashSet::new(),
             cancelled_early: HashSet::new(),
             groups: BTreeMap::new(),
@@ -204,7 +216,7 @@
                 record,
                 progress,
             } => {
-                // Told without what was noted of it.
+                // The progress is missing here, so the job must not be treated as new.
                 if self.is_unreadable(id) {
                     return;
                 }
@@ -240,7 +252,7 @@
             }
             Input::RosterUnreadable => self.roster_unreadable = true,
             Input::ClosedWorker { worker_name, runs } => {
-                self.closed_unlisted.insert(worker_name, runs);
+                self.closed_without_roster.insert(worker_name, runs);
             }
             Input::StoredStateRead { earlier_owner_over } => {
                 self.begin_recovery(earlier_owner_over)
@@ -292,9 +304,10 @@
         }
     }
 
-    /// Decides what follows from the news and the time.
+    /// Makes the decisions that follow from the handled inputs and the current time, and
+    /// returns the actions.
     pub fn decide(&mut self, now_ms: u64) -> Vec<Action> {
-        self.note_pause(now_ms);
+        self.detect_pause(now_ms);
         self.now_ms = self.now_ms.max(now_ms);
         if self.stored_state_read {
             self.open_due();
@@ -311,21 +324,22 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Notices that this process was paused since it decided last. A VM so slow
-    /// that every decision takes a second is not.
-    fn note_pause(&mut self, now_ms: u64) {
-        let gap_ms = now_ms.saturating_sub(self.decided_ms);
+    /// Detects that this process was paused since its last decision. The gap is compared
+    /// with the mean gap, so that a VM so slow that every decision takes a second does not
+    /// count as paused.
+    fn detect_pause(&mut self, now_ms: u64) {
+        let gap_ms = now_ms.saturating_sub(self.last_decision_ms);
         if gap_ms == 0 {
             return;
         }
-        self.decided_ms = now_ms;
-        if gap_ms >= PAUSE_MS && gap_ms as f64 >= PAUSE_FACTOR * self.usual_gap_ms {
+        self.last_decision_ms = now_ms;
+        if gap_ms >= PAUSE_MS && gap_ms as f64 >= PAUSE_FACTOR * self.mean_gap_ms {
             self.resumed_ms = now_ms;
         }
-        self.usual_gap_ms += GAP_WEIGHT * (gap_ms as f64 - self.usual_gap_ms);
+        self.mean_gap_ms += GAP_WEIGHT * (gap_ms as f64 - self.mean_gap_ms);
     }
 
-    /// When to decide again without news.
+    /// Returns the time at which to call [`Scheduler::decide`] again if no input arrives.
     pub fn wake_at_ms(&self) -> u64 {
         let due_ms = self.due.first().map_or(u64::MAX, |&(due_ms, _)| due_ms);
         due_ms.min(self.review_at_ms)
@@ -341,29 +355,29 @@
         }
     }
 
-    /// Whether orders may be given: the epoch was confirmed lately, and since
-    /// the last pause of this process, in which another may have taken over.
+    /// Returns whether orders may be given: the epoch was confirmed recently, and after the
+    /// last pause of this process, during which another owner may have taken over.
     pub fn has_authority(&self) -> bool {
-        let lately = self.now_ms < self.confirmed_ms + self.tuning.authority_ms;
-        lately && self.confirmed_ms >= self.resumed_ms
+        let recent = self.now_ms < self.confirmed_ms + self.tuning.authority_ms;
+        recent && self.confirmed_ms >= self.resumed_ms
     }
 
-    /// The epoch under which orders are given.
+    /// Returns the epoch under which orders are given.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The jobs.
+    /// Returns all jobs in memory.
     pub fn jobs(&self) -> impl Iterator<Item = &GraphJob> {
         self.jobs.values()
     }
 
-    /// The workers.
+    /// Returns all worker slots, including vacant ones.
     pub fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
-    /// How much is kept in memory.
+    /// Returns the numbers of the objects in memory.
     pub fn sizes(&self) -> Sizes {
         Sizes {
             jobs: self.jobs.len(),
@@ -375,7 +389,7 @@
         }
     }
 
-    /// The open groups.
+    /// Returns the groups of all open occurrences.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.values()
     }
@@ -389,13 +403,14 @@
             self.terms.insert(queue.name.clone(), terms);
         }
         self.configuration = configuration;
-        self.forget_old_queues();
+        self.drop_unused_queues();
         self.refresh_terms();
         self.changed = true;
     }
 
-    /// Queues come and go with every version; only those with jobs are kept.
-    fn forget_old_queues(&mut self) {
+    /// Drops the terms and statistics of queues that are neither configured nor used by a
+    /// job, since every version of the configuration may bring new queues.
+    fn drop_unused_queues(&mut self) {
         let declared = self.configuration.queues.iter().map(|queue| &queue.name);
         let used = self.jobs.values().map(|job| &job.record.queue);
         let needed: HashSet<&String> = declared.chain(used).collect();
@@ -406,7 +421,7 @@
     pub(super) fn job_mut(&mut self, id: JobId) -> &mut GraphJob {
         self.jobs
             .get_mut(&id)
-            .expect("jobs are removed only by review, which asks for none")
+            .expect("jobs are removed only by review, which looks up no job afterwards")
     }
 
     pub(super) fn worker(&self, key: WorkerKey) -> &Worker {
@@ -421,7 +436,7 @@
         self.actions.push(Action::Decided(decision));
     }
 
-    /// The room of the workers that count.
+    /// Returns the total capacity of the workers that match `counts`.
     pub(super) fn room_of(&self, counts: impl Fn(&Worker) -> bool) -> Resources {
         let counted = self.workers.iter().filter(|worker| counts(worker));
         counted.fold(Resources::default(), |sum, worker| {
@@ -429,7 +444,7 @@
         })
     }
 
-    pub(super) fn note_work(&mut self, queue: &str, work: f64) {
+    pub(super) fn record_work(&mut self, queue: &str, work: f64) {
         let history = self.history.entry(queue.to_owned()).or_default();
         history.jobs += 1.0;
         history.mean_work += (work - history.mean_work) / history.jobs;
@@ -441,18 +456,19 @@
             .map_or(1.0, |history| history.mean_work)
     }
 
-    /// What is believed of the run time behind a queue's estimate.
+    /// Predicts the run time of a task from the estimate of its caller and the history of
+    /// its queue.
     pub(super) fn run_time_of(&self, queue: &str, estimated_ms: u64) -> LogEstimate {
         let history = self.history.get(queue);
         let run_times = history.map(|history| history.run_times).unwrap_or_default();
         run_times.predict(estimated_ms)
     }
 
-    /// Looks through workers and runs for what has become due.
+    /// Reviews all workers and runs for what has become due.
     fn review(&mut self) {
         self.review_recovery();
-        // An owner that knows no configuration starts nothing: what it stopped, to
-        // have it run better elsewhere, would only be thrown away.
+        // An owner without a configuration starts nothing, so a run that it stopped in
+        // order to move it would be lost.
         let may_move = self.configuration.version > 0;
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
@@ -474,10 +490,12 @@
         if may_move {
             self.review_upkeep();
         }
-        self.forget_old_jobs();
+        self.delete_old_jobs();
     }
 
-    fn forget_old_jobs(&mut self) {
+    /// Requests the deletion of jobs that ended long ago, and drops ids of deleted jobs
+    /// that need not be remembered any more.
+    fn delete_old_jobs(&mut self) {
         let before_ms = self.now_ms.saturating_sub(self.tuning.retention_ms);
         let old: Vec<JobId> = self
             .jobs
@@ -491,7 +509,8 @@
             self.actions.push(Action::DeleteJob { job: id });
         }
         let now_ms = self.now_ms;
-        self.deleting_jobs
-            .retain(|_, removed_ms| removed_ms.is_none_or(|at_ms| now_ms < at_ms + REMOVED_MS));
+        self.deleting_jobs.retain(|_, removed_ms| {
+            removed_ms.is_none_or(|at_ms| now_ms < at_ms + DELETED_JOB_RETENTION_MS)
+        });
     }
 }
--- a/src/scheduler/unreadable.rs
+++ b/src/scheduler/unreadable.rs
@@ -1,15 +1,15 @@
-//! Stored values of ours that do not read.
+//! Handles stored values of the scheduler that cannot be decoded.
 //!
-//! Another version may have written them, or somebody else. A value that does
-//! not read is never taken for one that is not there:
+//! Another version of the program, or another program, may have written them. A value
+//! that cannot be decoded is never treated as missing:
 //!
-//! - A job whose record or progress does not read is unread. Nothing of it
-//!   starts, since what is done of it is not known; what runs goes on, and ends
-//!   that workers list are kept there, unacknowledged, until the job reads. Taken
-//!   for a new job it would run a second time.
-//! - While the roster does not read, any worker may run anything of an earlier
-//!   owner, so this owner is blind until the longest lease is over. The value
-//!   stays as it is until then: an owner that follows sooner has to see it too.
+//! - A job whose record or progress cannot be decoded is unreadable. None of its tasks
+//!   starts, since it is unknown which are done; its runs continue, and ends that workers
+//!   list stay unacknowledged, until the job can be decoded. Treated as new, the job would
+//!   run a second time.
+//! - While the roster cannot be decoded, any worker may have runs of an earlier owner, so
+//!   this owner stays in recovery until the longest lease has expired. The value is not
+//!   overwritten until then, since an owner that takes over sooner has to see it too.
 
 use super::state::Scheduler;
 use super::worker::Contact;
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 
 impl Scheduler {
-    /// A stored value of a job cannot be decoded.
+    /// Marks a job as unreadable, unless it is known already.
     pub(super) fn handle_job_unreadable(&mut self, id: JobId) {
         let known = self.jobs.contains_key(&id)
             || self.deleting_jobs.contains_key(&id)
@@ -39,20 +39,21 @@
         }
     }
 
-    /// Whether a stored value of the job cannot be decoded.
+    /// Returns whether a stored value of the job cannot be decoded.
     pub(super) fn is_unreadable(&self, id: JobId) -> bool {
         self.unreadable_jobs.contains(&id)
     }
 
-    /// The values of a job read now.
+    /// Adds a job whose stored values can be decoded again, with the runs and ends of it
+    /// that workers have listed meanwhile.
     pub(super) fn handle_job_readable(
         &mut self,
         id: JobId,
         record: Arc<JobRecord>,
         progress: Option<ProgressRecord>,
     ) {
-        let runs = self.take_unread_runs(id);
-        // The ends that were heard meanwhile are taken in with the job.
+        let runs = self.remove_runs_of_unreadable_job(id);
+        // This also handles the ends that were listed while the job was unreadable.
         self.handle_job_stored(id, record, progress);
         self.unreadable_jobs.remove(&id);
         for (key, row) in runs {
@@ -61,8 +62,9 @@
         self.acknowledge_ends();
     }
 
-    /// A job that is cancelled needs no progress: whatever runs of it stops.
-    pub(super) fn unread_job_cancelled(&mut self, id: JobId) {
+    /// Stops all runs of an unreadable job that was cancelled. Its progress is not needed
+    /// any more, so the job is no longer unreadable.
+    pub(super) fn handle_unreadable_job_cancelled(&mut self, id: JobId) {
         if !self.unreadable_jobs.remove(&id) {
             return;
         }
@@ -72,9 +74,9 @@
         self.acknowledge_ends();
     }
 
-    /// Takes what runs of a job off the books, to be taken over like any other
-    /// run that is found.
-    fn take_unread_runs(&mut self, id: JobId) -> Vec<(WorkerKey, RunningRow)> {
+    /// Removes the runs of an unreadable job from their workers' state and returns them,
+    /// to be adopted like other runs that are found on workers.
+    fn remove_runs_of_unreadable_job(&mut self, id: JobId) -> Vec<(WorkerKey, RunningRow)> {
         let mut rows = Vec::new();
         if !self.is_unreadable(id) {
             return rows;
@@ -105,30 +107,32 @@
         runs.filter(|(_, name)| name.task.job == id).collect()
     }
 
-    /// Asks to have the roster stored; not over one that does not read.
+    /// Requests that the roster is stored, unless that would overwrite an unreadable one.
     pub(super) fn ask_to_store_roster(&mut self) {
         if !self.roster_unreadable {
             self.actions.push(Action::StoreRoster);
         }
     }
 
-    /// The longest lease is over: what the unread roster named matters no more.
+    /// Replaces an unreadable roster after the longest lease has expired: nothing runs any
+    /// more on the workers that it names.
     pub(super) fn replace_unread_roster(&mut self) {
         if !std::mem::take(&mut self.roster_unreadable) {
             return;
         }
-        self.closed_unlisted.clear();
+        self.closed_without_roster.clear();
         self.roster_asked = true;
         self.actions.push(Action::StoreRoster);
     }
 
-    /// Puts a worker on the roster that is not stored yet: whoever follows finds
-    /// the unread one, and is blind for as long as any lease of this owner lasts.
-    /// One that the store says is closed is opened there before it gets work: the
-    /// store would go on saying that nothing new runs there.
+    /// Adds a worker to the roster in memory while the stored one is unreadable. It need
+    /// not be stored first, since the next owner finds the unreadable roster and stays in
+    /// recovery for as long as any lease of this owner lasts. A worker that is stored as
+    /// closed has to be stored as open before it gets work; otherwise the next owner would
+    /// assume that nothing new runs there.
     pub(super) fn join_unread_roster(&mut self, key: WorkerKey) {
         let worker_name = self.worker(key).name();
-        if let Some(runs) = self.closed_unlisted.remove(&*worker_name) {
+        if let Some(runs) = self.closed_without_roster.remove(&*worker_name) {
             self.take_closed(key, runs);
         }
         let worker = self.worker_mut(key);
