--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -167,7 +167,7 @@
             .sum()
     }
 
-    /// Logs that an end is released to be acknowledged although nothing is stored for it.
+    /// Logs that an end is acknowledged although nothing is stored for it.
     pub(super) fn end_released(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
         let worker = self.worker(key).name();
         self.decided(Decision::EndReleased {
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -163,7 +163,7 @@
         /// Number of the end on its worker.
         number: u64,
     },
-    /// An end was released to be acknowledged although nothing is stored for it.
+    /// An end is acknowledged although nothing is stored for it.
     EndReleased {
         /// The run.
         name: RunName,
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -1,4 +1,4 @@
-//! Groups: the tasks of one step of one occurrence, and their state.
+//! Keeps the state of a group: the tasks of one step of one occurrence.
 //!
 //! The counts of waiting and done tasks always agree with the states of the tasks, since
 //! both change only in [`Group::set_state`].
@@ -161,8 +161,8 @@
     pub objective_ms: u64,
     /// Time from when the occurrence is due until `objective_ms`.
     pub objective_length_ms: u64,
-    /// Estimate of a task's run time in milliseconds on a worker of usual speed, as a
-    /// logarithm.
+    /// Estimate of the logarithm of a task's run time in milliseconds on a worker of usual
+    /// speed.
     pub run_time: LogEstimate,
     /// Whether the run time was added to the model of its queue.
     pub run_time_noted: bool,
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -171,7 +171,7 @@
     EmptyingOrdersRead {
         /// The orders.
         orders: Vec<EmptyingOrder>,
-        /// The orders were in force at this time or later.
+        /// The orders are those that were in force at this time or later.
         checked_ms: u64,
     },
     /// A job is stored. Has no effect on a job that is known already.
@@ -209,7 +209,7 @@
         /// When the store was asked.
         sent_ms: u64,
     },
-    /// The worker's registration entry exists but cannot be used.
+    /// The worker's registration entry exists but is invalid.
     WorkerEntryUnusable {
         /// The name in the entry's key.
         worker_name: String,
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -327,9 +327,9 @@
     steps.iter().map(work).sum::<f64>().max(1.0)
 }
 
-/// Returns the utility of a job in proportion to the mean of its queue. A fixed part keeps
-/// small jobs from having none, and the work counts up to [`MAX_WORK_RATIO`] times the
-/// mean.
+/// Returns the utility of a job in proportion to the mean of its queue. A part of it is
+/// fixed, for the sake of small jobs; the rest is proportional to the work of the job, up to
+/// [`MAX_WORK_RATIO`] times the mean work.
 pub(super) fn utility_ratio(work: f64, mean_work: f64) -> f64 {
     const FIXED_PART: f64 = 0.3;
     FIXED_PART + (1.0 - FIXED_PART) * (work / mean_work.max(1.0)).min(MAX_WORK_RATIO)
--- a/src/scheduler/spec.rs
+++ b/src/scheduler/spec.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns one number for all resources, in thousandths of a core: an accelerator
-    /// weighs [`CORES_PER_ACCELERATOR`] cores, and memory weighs nothing.
+    /// weighs `CORES_PER_ACCELERATOR` cores, and memory weighs nothing.
     pub fn weight(&self) -> u64 {
         u64::from(self.cpu_millis)
             + u64::from(self.accelerators) * u64::from(CORES_PER_ACCELERATOR) * 1_000
--- a/tests/cancelled.rs
+++ b/tests/cancelled.rs
@@ -1,5 +1,5 @@
-//! Work of cancelled jobs that begins or goes on after the cancellation: a start
-//! that a worker carries out late, and runs whose owner is gone.
+//! Tests that work of a cancelled job is stopped if it begins or continues after the
+//! cancellation: starts that a worker carries out late, and runs whose owner is gone.
 
 #[path = "support/fleet.rs"]
 #[expect(dead_code, reason = "each test program uses a part of the fixture")]
@@ -19,13 +19,13 @@
     RunName, //
 };
 
-/// From when a worker lists a run of a cancelled job until it is off the worker:
-/// one look and one stop. The platform allows seconds.
+/// Bound on the time from when a worker lists a run of a cancelled job until the run is
+/// off the worker: one poll and one stop. The platform allows seconds.
 const STOPPED_MS: u64 = 500;
 
-/// A fleet of one worker that does not answer while its owner starts a job there, and
-/// the starts that the worker was sent.
-fn started_on_a_silent_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
+/// A fleet of one worker that does not respond while its owner starts a job there, the
+/// job, and the runs of the start orders that were sent to the worker.
+fn started_on_an_unresponsive_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
     let mut fleet = Fleet::with_workers(1);
     fleet.silent = vec!["w0".to_owned()];
     let job = fleet.submit(1, record);
@@ -34,19 +34,20 @@
     (fleet, job, sent)
 }
 
-/// The same, and the job is cancelled.
-fn cancelled_beside_a_silent_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
+/// As [`started_on_an_unresponsive_worker`], and then the job is cancelled and the owner
+/// gives the worker up.
+fn cancelled_on_an_unresponsive_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
     const GIVEN_UP_MS: u64 = 4_000;
-    let (mut fleet, job, sent) = started_on_a_silent_worker(record);
+    let (mut fleet, job, sent) = started_on_an_unresponsive_worker(record);
     fleet.tell(Input::JobCancelled(job));
     fleet.advance(GIVEN_UP_MS);
     (fleet, job, sent)
 }
 
-/// The worker answers again, and carries out the starts that it was sent before.
+/// Lets the worker respond again and carry out the start orders that were sent before.
 fn carry_out_late(fleet: &mut Fleet, sent: &[RunName]) {
     fleet.silent.clear();
-    let worker = fleet.workers.get_mut("w0").expect("the worker");
+    let worker = fleet.workers.get_mut("w0").expect("no worker w0");
     for &name in sent {
         worker.running.insert(name, 0);
     }
@@ -54,11 +55,11 @@
 
 #[test]
 fn a_start_carried_out_after_its_job_was_cancelled_is_stopped() {
-    // A job is sent to a worker that does not answer, and its user cancels it. The
-    // worker carries the start out seconds later: the stop that followed was lost as
-    // well, so without a look it would run on for as long as its lease is renewed.
+    // A job is started on a worker that does not respond, and its user cancels it. The
+    // worker carries out the start seconds later. The stop order was lost as well, so
+    // unless a poll finds the run, it continues for as long as its lease is renewed.
     let (mut fleet, job, sent) =
-        cancelled_beside_a_silent_worker(record("plain", vec![step(1, 1)]));
+        cancelled_on_an_unresponsive_worker(record("plain", vec![step(1, 1)]));
     assert!(!sent.is_empty(), "the worker was sent a start");
 
     carry_out_late(&mut fleet, &sent);
@@ -70,9 +71,10 @@
 
 #[test]
 fn a_gang_carried_out_after_its_job_was_cancelled_is_stopped_whole() {
-    // The same with a gang: each member that begins late waits for the others, and
-    // holds its room until it is stopped.
-    let (mut fleet, _, sent) = cancelled_beside_a_silent_worker(record("plain", vec![gang(3, 2)]));
+    // The same with a gang: each member that begins late waits for the others, and takes
+    // its resources until it is stopped.
+    let (mut fleet, _, sent) =
+        cancelled_on_an_unresponsive_worker(record("plain", vec![gang(3, 2)]));
     let mut members: Vec<RunName> = sent.clone();
     members.sort();
     members.dedup();
@@ -85,14 +87,14 @@
 }
 
 #[test]
-fn a_start_carried_out_after_its_job_was_forgotten_is_stopped() {
-    // The worker is out of reach for so long that the cancelled job is removed from
-    // the store before the start is carried out: nobody knows the job any more.
-    const REMEMBERED_MS: u64 = 400_000;
+fn a_start_carried_out_after_its_job_was_deleted_is_stopped() {
+    // The worker is unreachable for so long that the cancelled job is deleted from the
+    // store before the start is carried out: the job is unknown by then.
+    const UNREACHABLE_MS: u64 = 400_000;
     let (mut fleet, job, sent) =
-        cancelled_beside_a_silent_worker(record("plain", vec![step(1, 1)]));
-    fleet.advance(REMEMBERED_MS);
-    assert!(fleet.forgotten.contains(&job), "the job is forgotten");
+        cancelled_on_an_unresponsive_worker(record("plain", vec![step(1, 1)]));
+    fleet.advance(UNREACHABLE_MS);
+    assert!(fleet.forgotten.contains(&job), "the job is deleted");
 
     carry_out_late(&mut fleet, &sent);
     fleet.advance(STOPPED_MS);
@@ -103,7 +105,8 @@
 #[test]
 fn work_of_a_cancelled_job_is_stopped_when_its_owner_was_removed() {
     // The VM of the owner that started a job is removed for good, and the job is
-    // cancelled while nobody owns. The next owner is told of both at once.
+    // cancelled while there is no owner. The next owner learns of the job and of the
+    // cancellation at the same time.
     let (fleet, job, record) = Fleet::with_job(2, record("plain", vec![gang(2, 8)]));
     assert_eq!(fleet.running().len(), 2);
 
@@ -117,10 +120,10 @@
 
 #[test]
 fn a_late_start_of_a_removed_owner_is_stopped() {
-    // The owner that sent a start is removed, the job is cancelled under the next
-    // one, and only then does the worker carry the start out.
+    // The owner that sent a start order is removed, the job is cancelled under the next
+    // owner, and only then does the worker carry out the start.
     let record = record("plain", vec![step(1, 1)]);
-    let (fleet, job, sent) = started_on_a_silent_worker(record.clone());
+    let (fleet, job, sent) = started_on_an_unresponsive_worker(record.clone());
     let known = [(job, record)];
     let mut next = fleet.next_owner(2, &known, true);
     next.tell(Input::JobCancelled(job));
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -1,4 +1,5 @@
-//! A worker is told that an end is noted only once that end is stored.
+//! Tests that an end is acknowledged to its worker only once its effects are stored, and
+//! that every end counts.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -30,7 +31,7 @@
 use std::sync::Arc;
 use twice::{
     Event,
-    Story, //
+    Simulation, //
 };
 
 fn event() -> impl Strategy<Value = Event> {
@@ -41,14 +42,14 @@
         4 => (any::<u8>(), prop::bool::weighted(0.7))
             .prop_map(|(which, answered)| Event::Commit { which, answered }),
         1 => any::<u8>().prop_map(Event::Cancel),
-        2 => any::<u8>().prop_map(Event::Silence),
-        1 => any::<u8>().prop_map(Event::Lose),
+        2 => any::<u8>().prop_map(Event::ToggleResponding),
+        1 => any::<u8>().prop_map(Event::LoseWorker),
         2 => (any::<bool>(), any::<bool>()).prop_map(|(earlier_owner_over, behind)| {
             Event::ChangeOwner { earlier_owner_over, behind }
         }),
-        1 => Just(Event::TellJobs),
-        4 => (10..600u16).prop_map(Event::Pass),
-        1 => Just(Event::PassLong),
+        1 => Just(Event::ReportJobs),
+        4 => (10..600u16).prop_map(Event::Wait),
+        1 => Just(Event::WaitLong),
     ]
 }
 
@@ -60,27 +61,28 @@
         ..ProptestConfig::default()
     })]
 
-    /// A gang ran again after it was done: the owner that heard of it could not
-    /// reach the store, told the workers of all members but one that their ends
-    /// are noted, and the one worker that still listed its end was lost before
-    /// the next owner asked. Whatever happens in whatever order, no worker is
-    /// told so before the end is stored, nothing starts after such an end, and
-    /// no end waits once all is calm.
+    /// Guards against a gang that runs again after it was done: the owner that handled the
+    /// ends could not reach the store, acknowledged the ends of all members but one, and
+    /// the one worker that still listed its end was lost before the next owner polled it.
+    /// Checked for random sequences of events: no end is acknowledged before it is stored,
+    /// no task starts after its end was acknowledged, and no end stays unacknowledged once
+    /// all faults are repaired.
     #[test]
-    fn no_worker_forgets_an_end_before_it_is_stored(
+    fn no_end_is_acknowledged_before_it_is_stored(
         events in prop::collection::vec(event(), 1..60),
     ) {
-        let mut story = Story::begin();
+        let mut simulation = Simulation::begin();
 
         for event in &events {
-            story.play(event);
+            simulation.apply(event);
         }
 
-        story.calm_down();
+        simulation.repair_and_drain();
     }
 }
 
-fn tell(fleet: &mut Fleet, id: JobId, record: &JobRecord) {
+/// Passes a stored job to the scheduler.
+fn send_job(fleet: &mut Fleet, id: JobId, record: &JobRecord) {
     fleet.tell(Input::JobStored {
         id,
         record: Arc::new(record.clone()),
@@ -88,9 +90,9 @@
     });
 }
 
-/// A fleet whose owner hears the done end of a job's only task and was not told
-/// of that job.
-fn heard_before_its_job() -> (Fleet, JobId, JobRecord) {
+/// A fleet whose owner has received the end of a job's only, completed task, but has not
+/// read that job yet.
+fn end_received_before_its_job() -> (Fleet, JobId, JobRecord) {
     let (mut fleet, id, job) = Fleet::with_job(1, record("plain", vec![step(1, 1)]));
     fleet.end_all(id, EndKind::Done);
     let mut next = fleet.next_owner(2, &[], false);
@@ -99,12 +101,12 @@
     (next, id, job)
 }
 
-/// A gang failed as one, for the last time that it may. Its owner could not
-/// reach the store; it counted the failure with the end of the first member, and
-/// let go of the second one's, which changed nothing more. With the first worker
-/// lost, the next owner knew of no failure, and the gang ran once too often.
+/// Guards against a gang that runs once too often. It had failed as a whole and exhausted
+/// its attempts, while its owner could not reach the store. The owner counted the failure
+/// with the end of the first member, and acknowledged the end of the second, which changed
+/// nothing more. After the first worker was lost, the next owner knew of no failure.
 #[test]
-fn a_failure_that_another_member_told_waits_for_the_store_too() {
+fn an_end_whose_failure_was_counted_with_another_member_waits_for_the_store_too() {
     let (mut fleet, job, _) = Fleet::with_job(2, record("plain", vec![gang(2, 8)]));
     fleet.store_answers = false;
 
@@ -115,28 +117,28 @@
     assert_eq!(fleet.highest_last_seen["w1"], 0);
 }
 
-/// A new owner, whose view of the jobs was behind, let go of the done end of a
-/// job that it did not know yet; once it knew the job, the task ran again.
+/// Guards against a task that runs again after it completed: a new owner, which had not
+/// read all jobs yet, acknowledged the end of a job that it did not know.
 #[test]
 fn an_end_of_a_job_that_is_not_known_yet_counts_once_it_is() {
-    let (mut fleet, id, job) = heard_before_its_job();
+    let (mut fleet, id, job) = end_received_before_its_job();
     assert_eq!(fleet.highest_last_seen["w0"], 0, "its job may be stored");
 
-    tell(&mut fleet, id, &job);
+    send_job(&mut fleet, id, &job);
     fleet.follows_jobs = true;
     fleet.advance(100);
 
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
-    assert!(fleet.starts.is_empty(), "it was done");
+    assert!(fleet.starts.is_empty(), "the task was done already");
 }
 
-/// An end of a job that is not stored any more is let go of once all stored jobs
-/// are known, and the log says so; kept for ever, it would hold up all later ends
-/// of its worker.
+/// The end of a job that is not stored any more is acknowledged once all stored jobs have
+/// been read, and this is logged. Otherwise it would block the acknowledgement of all later
+/// ends of its worker.
 #[test]
-fn an_end_of_a_job_that_is_not_stored_is_let_go_of() {
-    let (mut fleet, id, _) = heard_before_its_job();
+fn an_end_of_a_job_that_is_not_stored_is_acknowledged() {
+    let (mut fleet, id, _) = end_received_before_its_job();
 
     fleet.follows_jobs = true;
     fleet.advance(100);
@@ -145,12 +147,13 @@
     let released = fleet.actions.iter().any(|action| {
         matches!(action, Action::Decided(Decision::EndReleased { name, .. }) if name.task.job == id)
     });
-    assert!(released, "the log names it");
+    assert!(released, "the release of the end is logged");
 }
 
-/// The second occurrence of a job was due and done by the clock of one VM and
-/// not yet due by that of the next owner. The end named tasks that this owner did
-/// not have, so it was let go of, and the occurrence ran again when it was due.
+/// Guards against an occurrence that runs again. The second occurrence of a job was due and
+/// done by the clock of one VM, but not yet due by the clock of the next owner. That owner
+/// had no such task when the end was listed, so it acknowledged the end without counting
+/// it, and the occurrence ran again when it was due.
 #[test]
 fn an_end_of_an_occurrence_that_is_not_due_yet_counts() {
     const INTERVAL_MS: u64 = 2_000;
@@ -188,9 +191,9 @@
     assert!(again.is_none(), "{again:?}");
 }
 
-/// A worker lists 500 ends at a time. While the store was away it had more, so
-/// the end of the newest run was on no list, and neither was the run: it was taken
-/// for gone and its task, which was done, was started again.
+/// Guards against a task that is started again after it completed. A worker lists 500 ends
+/// at a time. During a store outage it had more, so neither the newest run nor its end was
+/// listed, and the run was considered gone.
 #[test]
 fn a_run_that_a_full_list_does_not_show_may_have_ended() {
     const LISTED_ENDS: u64 = 500;
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler of job graphs: what a job can ask, and the failures found.
+//! Tests of the scheduler: what jobs can ask for, and regressions.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -42,11 +42,11 @@
 #[test]
 fn a_step_starts_only_after_all_tasks_of_the_steps_before_it_are_done() {
     let mut fleet = Fleet::with_workers(2);
-    let second = StepSpec {
+    let dependent = StepSpec {
         after: vec![0],
         ..step(1, 1)
     };
-    let job = fleet.submit(1, record("plain", vec![step(2, 1), second]));
+    let job = fleet.submit(1, record("plain", vec![step(2, 1), dependent]));
     fleet.advance(50);
     assert_eq!(fleet.running().len(), 2, "both tasks of the first step run");
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_job_is_shown_completed_only_once_that_is_stored() {
+fn a_job_is_shown_as_completed_only_once_that_is_stored() {
     let (mut fleet, job, _) = Fleet::with_job(1, record("plain", vec![step(1, 1)]));
     fleet.store_answers = false;
 
@@ -86,7 +86,7 @@
     let (mut fleet, small, _) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     fleet.submit(2, record("plain", vec![gang(2, 8)]));
     fleet.advance(100);
-    assert_eq!(fleet.running().len(), 1, "one worker is taken in part");
+    assert_eq!(fleet.running().len(), 1, "one worker is partly in use");
 
     fleet.end_all(small, EndKind::Done);
     fleet.advance(100);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn one_done_end_stands_for_the_whole_gang() {
+fn one_completed_member_completes_the_whole_gang() {
     let (mut fleet, job, _) = Fleet::with_job(2, record("plain", vec![gang(2, 8)]));
 
     let first = fleet.running()[0].clone();
@@ -123,35 +123,39 @@
 }
 
 #[test]
-fn labels_and_bounds_on_one_worker_are_kept() {
+fn required_labels_and_bounds_per_worker_are_respected() {
     let mut fleet = Fleet::with_workers(2);
-    let apart = StepSpec {
+    let one_per_worker = StepSpec {
         max_per_worker: 1,
         ..step(3, 1)
     };
-    let elsewhere = StepSpec {
+    let labelled = StepSpec {
         required_label: "b".to_owned(),
         ..step(1, 1)
     };
-    fleet.submit(1, record("plain", vec![apart]));
-    fleet.submit(2, record("plain", vec![elsewhere]));
+    fleet.submit(1, record("plain", vec![one_per_worker]));
+    fleet.submit(2, record("plain", vec![labelled]));
     fleet.advance(100);
 
     let mut workers: Vec<String> = fleet.running().into_iter().map(|row| row.0).collect();
     workers.dedup();
-    assert_eq!(workers, ["w0", "w1"], "one task a worker, the third waits");
+    assert_eq!(
+        workers,
+        ["w0", "w1"],
+        "one task per worker, the third waits"
+    );
 }
 
 #[test]
 fn occurrences_start_when_they_are_due_and_not_before() {
     let mut fleet = Fleet::with_workers(1);
-    let mut timed = record("plain", vec![step(1, 1)]);
-    timed.spec.schedule = Some(Schedule {
+    let mut scheduled = record("plain", vec![step(1, 1)]);
+    scheduled.spec.schedule = Some(Schedule {
         repetitions: 2,
         start_at_ms: BEGIN_MS + 500,
         interval_ms: 1_000,
     });
-    let job = fleet.submit(1, timed);
+    let job = fleet.submit(1, scheduled);
     fleet.advance(1_700);
 
     let times: Vec<u64> = fleet.starts.iter().map(|start| start.2).collect();
@@ -162,12 +166,12 @@
 }
 
 #[test]
-fn work_that_lasts_is_started_again_however_it_ends() {
-    let lasting = StepSpec {
+fn long_running_work_is_started_again_however_it_ends() {
+    let long_running = StepSpec {
         long_running: true,
         ..step(1, 1)
     };
-    let (mut fleet, job, _) = Fleet::with_job(1, record("plain", vec![lasting]));
+    let (mut fleet, job, _) = Fleet::with_job(1, record("plain", vec![long_running]));
     for kind in [
         EndKind::Failed,
         EndKind::Failed,
@@ -185,9 +189,8 @@
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Cancelled));
 }
 
-/// Urgent work finds its accelerators lent to patient work. The victims are
-/// stopped in the pass that offers it room, so it begins within the time of a
-/// stop.
+/// Urgent work finds its guaranteed accelerators lent to non-urgent work. The victims are
+/// stopped in the scheduling pass that places it, so it begins within the time of a stop.
 #[test]
 fn guaranteed_work_takes_its_accelerators_back_at_once() {
     let mut fleet = Fleet::with_workers(2);
@@ -203,12 +206,12 @@
     assert_eq!(fleet.stops.len(), 8, "no more than what it needs");
 }
 
-/// A user sees urgent work wait for seconds while its victims are stopped
-/// again and again. The room that a victim frees is free before the others
-/// have stopped; the next pass gave it to a later job, most often the victim
-/// itself, which then was stopped again.
+/// Guards against urgent work that waits for seconds while its victims are stopped again
+/// and again. The resources of one victim are free before the other victims have stopped;
+/// the next pass gave them to a later job, most often the victim itself, which was then
+/// stopped again.
 #[test]
-fn room_that_is_being_freed_is_not_given_back_to_the_victims() {
+fn resources_that_are_being_freed_are_not_given_back_to_the_victims() {
     let mut fleet = Fleet::with_workers(2);
     fleet.submit(1, record("patient", vec![step(16, 1)]));
     fleet.advance(100);
@@ -218,15 +221,15 @@
     fleet.settle();
     fleet.advance(40);
 
-    let again = fleet.starts.iter().filter(|start| start.0.run > 1).count();
-    assert_eq!(again, 0, "victims on w0 took their room back");
+    let restarts = fleet.starts.iter().filter(|start| start.0.run > 1).count();
+    assert_eq!(restarts, 0, "victims on w0 took their resources back");
 }
 
-/// A task runs twice: its start is answered, and a look that was sent in the
-/// same millisecond, but before the start reached the worker, does not show
-/// it. Taken for gone, it was started elsewhere.
+/// Guards against a task that runs twice. Its start was answered, but a poll that was sent
+/// in the same millisecond reached the worker before the start did, so its answer did not
+/// list the run. The run was considered gone and the task started elsewhere.
 #[test]
-fn a_look_sent_in_the_millisecond_of_a_start_proves_nothing() {
+fn a_poll_sent_in_the_millisecond_of_a_start_does_not_prove_the_run_gone() {
     let mut fleet = Fleet::with_workers(1);
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.settle();
@@ -245,8 +248,8 @@
     assert_eq!(fleet.starts.len(), 1, "the task was started again");
 }
 
-/// On a calm day gangs were stopped as hanging: their members stand still at
-/// the start, until all are there, and at the end, until the slowest is done.
+/// Guards against gangs that are stopped as hanging without a fault: members make no
+/// progress at the start, until all are running, and at the end, until the slowest is done.
 #[test]
 fn a_gang_that_waits_for_its_members_does_not_hang() {
     let gang = StepSpec {
@@ -285,7 +288,7 @@
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped_and_started_elsewhere() {
+fn a_run_without_progress_is_stopped_and_started_elsewhere() {
     let (mut fleet, ..) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let before = fleet.running()[0].0.clone();
 
@@ -295,10 +298,10 @@
     assert_ne!(before, after);
 }
 
-/// Work on a worker that leaves was lost with it, and started again only when
-/// its lease was over.
+/// Guards against work that is lost with a draining worker, and started again only after
+/// the worker's lease has expired.
 #[test]
-fn work_that_cannot_end_in_time_moves_off_a_worker_that_leaves() {
+fn work_that_cannot_end_in_time_moves_off_a_draining_worker() {
     let long = StepSpec {
         estimated_ms: 20_000,
         ..step(1, 1)
@@ -314,8 +317,8 @@
     assert_ne!(after[0].0, before);
 }
 
-/// A worker that fails whatever it starts is empty again at once and draws the
-/// next tasks, each of which loses an attempt.
+/// A worker that fails every run is empty again at once and attracts the next tasks, each
+/// of which loses an attempt. So it is quarantined.
 #[test]
 fn a_worker_that_fails_two_jobs_in_a_row_gets_nothing_for_a_while() {
     let (mut fleet, first, _) = Fleet::with_job(2, record("plain", vec![step(1, 8)]));
@@ -339,8 +342,8 @@
     assert!(!fleet.running().iter().any(|row| row.0 == bad));
 }
 
-/// An order's answer is lost. It is sent again under the same number, which
-/// the worker takes for the same start.
+/// The answer to a start order is lost. The order is sent again under the same run number,
+/// by which the worker recognizes it as the same start.
 #[test]
 fn a_start_without_an_answer_is_sent_again_under_its_number() {
     let mut fleet = Fleet::with_workers(1);
@@ -356,9 +359,9 @@
     assert_eq!(fleet.running().len(), 1);
 }
 
-/// Guaranteed work of a gang that wants one rack began 2.8 s after it was
-/// accepted, where 2.7 s are promised: no rack had room for all of it, and it
-/// waited as long for one as work without a promise does.
+/// Guards against late guaranteed work: a gang that wants one rack began 2.8 s after it was
+/// accepted, where 2.7 s are promised. No rack had capacity for the whole gang, and it
+/// waited for one as long as work without a promise does.
 #[test]
 fn guaranteed_work_does_not_wait_for_its_rack_beyond_its_promise() {
     let mut fleet = Fleet::with_workers(1);
@@ -368,37 +371,42 @@
     assert!(waited_ms < 1_700, "began after {waited_ms} ms");
 }
 
-/// While an end was being stored, its worker was asked again the moment it had
-/// answered, and told the same end each time: tens of calls for one commit.
+/// Guards against needless polls: while an end was being stored, its worker was polled
+/// again as soon as it had answered, and listed the same end each time, which took tens of
+/// calls for one commit.
 #[test]
-fn a_worker_with_an_end_that_is_not_durable_is_not_asked_at_once() {
+fn a_worker_with_an_end_that_is_not_durable_is_not_polled_at_once() {
     let mut fleet = Fleet::with_workers(1);
     let job = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(50);
     fleet.store_answers = false;
     fleet.end_all(job, EndKind::Done);
     fleet.advance(20);
-    let looks = |fleet: &Fleet| {
-        let holds = fleet.actions.iter();
-        holds
+    let polls = |fleet: &Fleet| {
+        let actions = fleet.actions.iter();
+        actions
             .filter(|action| matches!(action, Action::Poll { .. }))
             .count()
     };
-    let before = looks(&fleet);
+    let before = polls(&fleet);
 
     fleet.advance(200);
-    assert_eq!(looks(&fleet), before, "no look while the end is stored");
+    assert_eq!(
+        polls(&fleet),
+        before,
+        "no poll while the end is being stored"
+    );
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
     fleet.tell(Input::ProgressStored { job, change });
     fleet.advance(10);
-    assert_eq!(looks(&fleet), before + 1, "one look tells that it is");
+    assert_eq!(polls(&fleet), before + 1, "one poll acknowledges the end");
     assert_eq!(fleet.highest_last_seen["w0"], 1);
 }
 
-/// The only worker with room failed whatever it started: one job's task went
-/// back to it eight times within a quarter of a second, and the job was given up
-/// though the fault was the worker's.
+/// Guards against a job that fails through the fault of a worker. The only worker with free
+/// capacity failed every run; one job's task was started there eight times within a
+/// quarter of a second, which exhausted its attempts.
 #[test]
 fn a_task_does_not_spend_its_attempts_on_one_failing_worker() {
     const FAULT_MS: u64 = 1_000;
@@ -411,7 +419,7 @@
         fleet.end_all(job, EndKind::Failed);
     }
     let own = fleet.starts.iter().filter(|start| start.0.task.job == job);
-    assert_eq!(own.count(), 1, "it waits for another worker");
+    assert_eq!(own.count(), 1, "the task waits for another worker");
 
     fleet.end_all(blocker, EndKind::Done);
     fleet.advance(100);
@@ -420,13 +428,14 @@
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
-/// An owner was paused for 14 s, and the first look that it read then had been answered
-/// before: it took the worker's clock for 14 s younger than it was, so each start was
-/// void on arrival. It was sent again in the same millisecond, 5,283 times until the
-/// clock was read anew (E307 `late`, runs 7 to 5,289).
+/// Guards against a start order that is repeated without end. After a pause of 14 s an
+/// owner read the answer to a poll from before the pause, so it believed the worker's clock
+/// to be 14 s behind its true value, and each start was void on arrival (E307 `late`). The
+/// order was sent again in the same millisecond, 5,283 times (runs 7 to 5,289), until a
+/// newer answer gave the clock.
 #[test]
 fn a_start_that_came_too_late_waits_for_the_workers_clock() {
-    const LOOKS_A_SECOND: usize = 10;
+    const POLLS_PER_SECOND: usize = 10;
     let mut fleet = Fleet::with_workers(1);
     fleet.refusal = Some(StartRefusal::Late);
     fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -436,27 +445,28 @@
     fleet.refusal = None;
     fleet.advance(200);
 
-    assert!(sent <= LOOKS_A_SECOND + 1, "sent {sent} times");
+    assert!(sent <= POLLS_PER_SECOND + 1, "sent {sent} times");
     assert_eq!(fleet.running().len(), 1);
 }
 
-/// The next owner numbered its runs below those 5,289, since an epoch had a thousand
-/// numbers for a task. A worker takes no run whose number is not above all that it knows
-/// of the task.
+/// Guards against runs that workers refuse as old. After an owner had used 5,289 run
+/// numbers for one task, the next owner numbered its runs lower, since each epoch had only
+/// a thousand numbers for a task. A worker accepts a run only if its number is higher than
+/// all that it knows of the task.
 #[test]
-fn runs_of_the_next_owner_are_numbered_above_those_of_one_that_tried_for_long() {
+fn runs_of_the_next_owner_are_numbered_above_those_of_an_owner_that_retried_for_long() {
     const LONG_MS: u64 = 400_000;
     let mut fleet = Fleet::with_workers(1);
     let job = record("plain", vec![step(1, 1)]);
     let id = fleet.submit(1, job.clone());
     fleet.refusal = Some(StartRefusal::NoRoom);
     fleet.advance(LONG_MS);
-    let before = fleet.starts.last().expect("it was tried").0.run;
+    let before = fleet.starts.last().expect("a start was tried").0.run;
 
     let mut next = fleet.next_owner(2, &[(id, job)], true);
     next.advance(1_000);
 
-    assert!(before > 1_000, "{before}");
+    assert!(before > 1_000, "the last run has number {before}");
     let after = next.starts[0].0.run;
-    assert!(after > before, "{after} after {before}");
+    assert!(after > before, "run {after} follows run {before}");
 }
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -1,6 +1,8 @@
-//! A fleet under drawn ends, commits, losses and changes of owner. Each message
-//! that tells a worker that an end is noted is checked against what is stored in
-//! that moment, and each start against the ends that were noted before.
+//! Simulates a fleet under random ends of runs, commits, losses of workers and changes of
+//! owner.
+//!
+//! Each acknowledgement of an end is checked against what is stored at that moment, and
+//! each start against the ends that were acknowledged before.
 
 use crate::fleet::{
     Fleet,
@@ -25,61 +27,63 @@
 };
 use std::sync::Arc;
 
-/// Workers of a fleet: enough for the widest gang, on a worker each.
+/// Number of workers: enough to run each member of the widest gang on its own worker.
 const WORKERS: u64 = 4;
+/// Step of the simulated clock; one step also passes after each event.
 const STEP_MS: u64 = 10;
-/// Longer than ended jobs are remembered.
-const LONG_MS: u64 = 151_000;
-/// Once all is calm, ends may wait this long: no more than some looks.
-const CALM_MS: u64 = 3_000;
+/// Longer than ended jobs are retained.
+const BEYOND_RETENTION_MS: u64 = 151_000;
+/// Time for all ends to be acknowledged once the faults are repaired: a few polls.
+const DRAIN_MS: u64 = 3_000;
 
-/// What is drawn.
+/// A random event. A `u8` selects one of the jobs, runs or workers.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller submits a job of one of the kinds.
+    /// A caller submits a job of the selected kind.
     Submit(u8),
     /// A run ends, done or failed; a gang ends as a whole.
     End { which: u8, failed: bool },
-    /// One of the jobs that wait for it is stored; the answer may be lost.
+    /// Progress of a job that waits to be stored is stored; the answer may be lost.
     Commit { which: u8, answered: bool },
     /// A caller cancels a job.
     Cancel(u8),
-    /// A worker can't be reached, or can again.
-    Silence(u8),
+    /// A worker becomes unresponsive, or responds again.
+    ToggleResponding(u8),
     /// A worker crashes, and another one joins in its place.
-    Lose(u8),
-    /// Another daemon owns. It may not have been told of the newest job yet.
+    LoseWorker(u8),
+    /// Another daemon becomes the owner. If `behind`, it may not have read the newest job.
     ChangeOwner {
         earlier_owner_over: bool,
         behind: bool,
     },
-    /// All jobs that are stored are told.
-    TellJobs,
-    /// Time passes.
-    Pass(u16),
-    /// So much time passes that ended jobs are forgotten.
-    PassLong,
+    /// The owner reads all stored jobs.
+    ReportJobs,
+    /// The given time in milliseconds passes.
+    Wait(u16),
+    /// So much time passes that ended jobs are deleted.
+    WaitLong,
 }
 
-/// The fleet with what its callers know.
-pub struct Story {
+/// The fleet, and the state against which it is checked.
+pub struct Simulation {
     pub fleet: Fleet,
     jobs: Vec<(JobId, JobRecord)>,
     cancelled: HashSet<JobId>,
-    /// Jobs that are stored and of which the owner was not told.
-    untold: Vec<JobId>,
-    /// Ends whose worker lost its lease before they were noted: they count for
-    /// nothing.
-    void: HashSet<(String, u64)>,
-    noted_done: HashSet<TaskId>,
+    /// Stored jobs that the owner has not read.
+    unreported: Vec<JobId>,
+    /// Ends, by worker and number, whose worker's lease expired before they were
+    /// acknowledged: they need not count.
+    expired: HashSet<(String, u64)>,
+    /// Tasks whose completion was acknowledged.
+    acknowledged_done: HashSet<TaskId>,
     checked_ends: usize,
     checked_starts: usize,
     epoch: u64,
-    lives: u64,
+    workers_created: u64,
 }
 
-impl Story {
-    /// An owner with idle workers.
+impl Simulation {
+    /// Starts with an owner and idle workers.
     pub fn begin() -> Self {
         let mut fleet = Fleet::with_workers(WORKERS as usize);
         fleet.holds_progress = true;
@@ -87,18 +91,18 @@
             fleet,
             jobs: Vec::new(),
             cancelled: HashSet::new(),
-            untold: Vec::new(),
-            void: HashSet::new(),
-            noted_done: HashSet::new(),
+            unreported: Vec::new(),
+            expired: HashSet::new(),
+            acknowledged_done: HashSet::new(),
             checked_ends: 0,
             checked_starts: 0,
             epoch: 1,
-            lives: WORKERS,
+            workers_created: WORKERS,
         }
     }
 
-    /// Lets one event happen, and what follows at once.
-    pub fn play(&mut self, event: &Event) {
+    /// Applies one event and lets its immediate effects take place.
+    pub fn apply(&mut self, event: &Event) {
         match *event {
             Event::Submit(kind) => self.submit(kind),
             Event::End { which, failed } => self.end(which, failed),
@@ -109,34 +113,34 @@
                 }
             }
             Event::Cancel(which) => self.cancel(which),
-            Event::Silence(which) => {
+            Event::ToggleResponding(which) => {
                 if let Some(worker) = pick(&self.worker_names(), which) {
-                    self.toggle_silence(worker);
+                    self.toggle_responding(worker);
                 }
             }
-            Event::Lose(which) => {
+            Event::LoseWorker(which) => {
                 if let Some(worker) = pick(&self.worker_names(), which) {
-                    self.lose(worker);
+                    self.lose_worker(worker);
                 }
             }
             Event::ChangeOwner {
                 earlier_owner_over,
                 behind,
             } => self.change_owner(earlier_owner_over, behind),
-            Event::TellJobs => self.tell_jobs(),
-            Event::Pass(by_ms) => self.pass(u64::from(by_ms)),
-            Event::PassLong => self.fleet.now_ms += LONG_MS,
+            Event::ReportJobs => self.report_jobs(),
+            Event::Wait(by_ms) => self.wait(u64::from(by_ms)),
+            Event::WaitLong => self.fleet.now_ms += BEYOND_RETENTION_MS,
         }
-        self.pass(STEP_MS);
+        self.wait(STEP_MS);
     }
 
-    /// Mends everything; ends must then be noted soon.
-    pub fn calm_down(&mut self) {
+    /// Repairs all faults and asserts that all ends are acknowledged soon.
+    pub fn repair_and_drain(&mut self) {
         let workers = &self.fleet.workers;
         self.fleet.silent.retain(|name| !workers.contains_key(name));
-        self.tell_jobs();
-        for _ in 0..CALM_MS / STEP_MS {
-            self.pass(STEP_MS);
+        self.report_jobs();
+        for _ in 0..DRAIN_MS / STEP_MS {
+            self.wait(STEP_MS);
             self.commit_all();
         }
         for (worker, fake) in &self.fleet.workers {
@@ -155,24 +159,24 @@
         }
     }
 
-    fn pass(&mut self, by_ms: u64) {
+    fn wait(&mut self, by_ms: u64) {
         let until_ms = self.fleet.now_ms + by_ms;
         while self.fleet.now_ms < until_ms {
-            self.end_lapsed();
+            self.expire_leases();
             self.fleet.advance(STEP_MS);
             self.check();
         }
     }
 
-    /// Workers whose lease is over kill what they run.
-    fn end_lapsed(&mut self) {
+    /// Lets workers whose lease has expired kill their runs.
+    fn expire_leases(&mut self) {
         let now_ms = self.fleet.now_ms;
         for (worker, fake) in &mut self.fleet.workers {
             if !fake.has_lapsed(now_ms) {
                 continue;
             }
             let listed = fake.ended.iter().map(|row| (worker.clone(), row.number));
-            self.void.extend(listed);
+            self.expired.extend(listed);
             let running: Vec<RunName> = fake.running.keys().copied().collect();
             for name in running {
                 fake.end(name, EndKind::LeaseExpired);
@@ -228,7 +232,7 @@
         let is_member = |other: &RunName| GroupKey::of(other.task) == key && other.run == name.run;
         let members = running.iter().filter(|(_, other)| is_member(other));
         let members: Vec<_> = members.collect();
-        // Members work only together.
+        // A gang only works, and can only end, once all its members run.
         if members.len() == width {
             for (worker, member) in members {
                 self.end_run(worker, *member, kind);
@@ -242,7 +246,7 @@
         }
     }
 
-    /// How many members a job's gang has; `None` for a job without one.
+    /// Returns the number of members of a job's gang; `None` for a job without a gang.
     fn gang_width(&self, job: JobId) -> Option<usize> {
         let record = self.jobs.iter().find(|(id, _)| *id == job)?;
         let step = &record.1.spec.steps[0];
@@ -262,7 +266,7 @@
         names.into_iter().cloned().collect()
     }
 
-    fn toggle_silence(&mut self, worker: &str) {
+    fn toggle_responding(&mut self, worker: &str) {
         let silent = &mut self.fleet.silent;
         match silent.iter().position(|name| name == worker) {
             Some(at) => drop(silent.remove(at)),
@@ -270,32 +274,32 @@
         }
     }
 
-    fn lose(&mut self, worker: &str) {
+    fn lose_worker(&mut self, worker: &str) {
         self.fleet.workers.remove(worker);
         self.fleet.silent.push(worker.to_owned());
         self.fleet.tell(Input::WorkerUnlisted(worker.to_owned()));
-        let next = format!("w{}", self.lives);
-        self.lives += 1;
+        let next = format!("w{}", self.workers_created);
+        self.workers_created += 1;
         self.fleet.add_worker(&next, "r1");
     }
 
     fn change_owner(&mut self, earlier_owner_over: bool, behind: bool) {
         self.check();
         self.epoch += 1;
-        self.untold.clear();
-        // An earlier owner that goes on may hear of a job that was stored after
-        // the next one had read what is stored. A job of which progress is
-        // stored is none of these.
+        self.unreported.clear();
+        // An earlier owner that still runs may learn of a job that was stored after the
+        // next owner had read the stored jobs. A job with stored progress cannot be one.
         let newest = self.jobs.last().map(|(job, _)| *job);
         let may_be_new = |job: &JobId| !earlier_owner_over && !self.fleet.stored.contains_key(job);
         let newest = newest.filter(|job| behind && may_be_new(job));
-        self.untold.extend(newest);
-        let told = |job: &JobId| !self.untold.contains(job) && !self.fleet.forgotten.contains(job);
-        let jobs = self.jobs.iter().filter(|(job, _)| told(job));
+        self.unreported.extend(newest);
+        let is_reported =
+            |job: &JobId| !self.unreported.contains(job) && !self.fleet.forgotten.contains(job);
+        let jobs = self.jobs.iter().filter(|(job, _)| is_reported(job));
         let jobs: Vec<_> = jobs.cloned().collect();
         let mut next = self.fleet.next_owner(self.epoch, &jobs, earlier_owner_over);
         next.holds_progress = true;
-        next.follows_jobs = self.untold.is_empty();
+        next.follows_jobs = self.unreported.is_empty();
         for &job in &self.cancelled {
             next.tell(Input::JobCancelled(job));
         }
@@ -303,8 +307,8 @@
         (self.checked_ends, self.checked_starts) = (0, 0);
     }
 
-    fn tell_jobs(&mut self) {
-        for job in std::mem::take(&mut self.untold) {
+    fn report_jobs(&mut self) {
+        for job in std::mem::take(&mut self.unreported) {
             let known = self.jobs.iter().find(|(id, _)| *id == job);
             if let Some((id, record)) = known.filter(|_| !self.fleet.forgotten.contains(&job)) {
                 self.fleet.tell(Input::JobStored {
@@ -321,8 +325,8 @@
         for at in self.checked_starts..self.fleet.starts.len() {
             let (name, worker, at_ms) = &self.fleet.starts[at];
             assert!(
-                !self.noted_done.contains(&name.task),
-                "{name:?} is started on {worker} at {at_ms} ms after a noted end"
+                !self.acknowledged_done.contains(&name.task),
+                "{name:?} is started on {worker} at {at_ms} ms after its end was acknowledged"
             );
         }
         self.checked_starts = self.fleet.starts.len();
@@ -333,39 +337,44 @@
     }
 
     fn check_end(&mut self, at: usize) {
-        let told = &self.fleet.acknowledged[at];
-        let job = told.row.name.task.job;
-        let void = self.void.contains(&(told.worker.clone(), told.row.number));
-        if void {
+        let acknowledged = &self.fleet.acknowledged[at];
+        let job = acknowledged.row.name.task.job;
+        let expired = self
+            .expired
+            .contains(&(acknowledged.worker.clone(), acknowledged.row.number));
+        if expired {
             return;
         }
         let over = self.cancelled.contains(&job) || self.fleet.forgotten.contains(&job);
         let gang = self.gang_width(job).is_some();
-        let stored = told.stored.as_ref();
-        let tells = match told.row.kind {
-            EndKind::Done => stored.is_some_and(|record| tells_done(record, told.row.name.task)),
+        let stored = acknowledged.stored.as_ref();
+        let recorded = match acknowledged.row.kind {
+            EndKind::Done => {
+                stored.is_some_and(|record| records_done(record, acknowledged.row.name.task))
+            }
             EndKind::Failed => {
-                stored.is_some_and(|record| tells_failed(record, told.row.name, gang))
+                stored.is_some_and(|record| records_failed(record, acknowledged.row.name, gang))
             }
             _ => true,
         };
         assert!(
-            over || tells,
-            "{} is told that an end is noted before it is stored: {told:?}",
-            told.worker
+            over || recorded,
+            "an end of {} is acknowledged before it is stored: {acknowledged:?}",
+            acknowledged.worker
         );
-        if told.row.kind == EndKind::Done {
-            self.noted_done.insert(told.row.name.task);
+        if acknowledged.row.kind == EndKind::Done {
+            self.acknowledged_done.insert(acknowledged.row.name.task);
         }
     }
 }
 
-fn pick<T>(of: &[T], which: u8) -> Option<&T> {
-    of.get(usize::from(which) % of.len().max(1))
+/// Returns the element that `which` selects; `None` if there are no elements.
+fn pick<T>(items: &[T], which: u8) -> Option<&T> {
+    items.get(usize::from(which) % items.len().max(1))
 }
 
-/// Whether the stored progress keeps a done task from being started again.
-fn tells_done(record: &ProgressRecord, task: TaskId) -> bool {
+/// Returns whether the stored progress keeps a done task from being started again.
+fn records_done(record: &ProgressRecord, task: TaskId) -> bool {
     let group = record.group(GroupKey::of(task));
     let word = group.and_then(|group| group.done.get(task.index as usize / 64));
     record.ended.is_some()
@@ -373,12 +382,12 @@
         || word.is_some_and(|word| word >> (task.index % 64) & 1 == 1)
 }
 
-/// Whether the stored progress counts a failed run, or needs not any more.
-fn tells_failed(record: &ProgressRecord, name: RunName, gang: bool) -> bool {
+/// Returns whether the stored progress counts a failed run, or need not count it any more.
+fn records_failed(record: &ProgressRecord, name: RunName, gang: bool) -> bool {
     let counted = if gang { 0 } else { name.task.index };
     let group = record.group(GroupKey::of(name.task));
     let rows = group.map(|group| group.failures.as_slice());
     let mut rows = rows.unwrap_or_default().iter();
-    tells_done(record, name.task)
+    records_done(record, name.task)
         || rows.any(|row| row.index == counted && row.runs.contains(&name.run))
 }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -1,4 +1,5 @@
-//! What a job is held to: the terms of its queue.
+//! Tests of the terms of queues that apply to jobs, mostly under owners that have read no
+//! configuration or another version than the daemon that accepted the job.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -27,25 +28,26 @@
 };
 use std::sync::Arc;
 
-/// A version in which every queue allows so many attempts.
-fn allowing(version: u64, max_attempts: u32) -> ClusterConfiguration {
-    let mut known = configuration(64);
-    known.version = version;
-    for queue in &mut known.queues {
+/// A version of the configuration in which every queue allows `max_attempts` attempts.
+fn with_max_attempts(version: u64, max_attempts: u32) -> ClusterConfiguration {
+    let mut changed = configuration(64);
+    changed.version = version;
+    for queue in &mut changed.queues {
         queue.max_attempts = max_attempts;
     }
-    known
+    changed
 }
 
-/// A version without the queue `plain`.
+/// A version of the configuration without the queue `plain`.
 fn without_plain(version: u64) -> ClusterConfiguration {
-    let mut known = configuration(64);
-    known.version = version;
-    known.queues.retain(|queue| queue.name != "plain");
-    known
+    let mut changed = configuration(64);
+    changed.version = version;
+    changed.queues.retain(|queue| queue.name != "plain");
+    changed
 }
 
-/// A job of one task that a daemon accepted under a version with so many attempts.
+/// A job of one task that a daemon accepted under a version that allows `max_attempts`
+/// attempts.
 fn accepted_under(version: u64, max_attempts: u32) -> JobRecord {
     let mut plain = queue("plain", 1);
     plain.max_attempts = max_attempts;
@@ -62,13 +64,13 @@
     fleet.advance(1_500);
 }
 
-/// What the last job that failed, failed by.
+/// Returns the failure that ended the last failed job.
 fn failure(fleet: &Fleet) -> JobFailure {
     let mut failures = fleet.actions.iter().filter_map(|action| match action {
         Action::Decided(Decision::JobEnded { failure, .. }) => *failure,
         _ => None,
     });
-    failures.next_back().expect("a job that failed")
+    failures.next_back().expect("no job has failed")
 }
 
 fn run_priorities(fleet: &Fleet) -> Vec<u32> {
@@ -77,46 +79,46 @@
     runs.map(|run| run.priority).collect()
 }
 
-/// A job of one task whose first run has failed, unheard by its owner, which is
-/// gone.
-fn one_failed_run() -> (Fleet, (JobId, JobRecord)) {
+/// A job of one task whose first run has failed on its worker. Its owner is gone without
+/// having polled the worker since.
+fn one_unreported_failure() -> (Fleet, (JobId, JobRecord)) {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     fleet.end_all(id, EndKind::Failed);
     (fleet, (id, job))
 }
 
-/// The next owner gave the job's one task a second attempt, and its end completes it.
+/// Asserts that the next owner has started a second attempt of the job's only task, and
+/// that its end completes the job.
 fn assert_second_attempt_completes(next: &mut Fleet, id: JobId) {
-    assert_eq!(next.starts.len(), 1, "the second attempt");
+    assert_eq!(next.starts.len(), 1, "the second attempt is started");
     next.end_all(id, EndKind::Done);
     next.advance(100);
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Completed));
 }
 
-/// A caller saw a job as failed after one failed run where two attempts are
-/// allowed. Its owner had just taken over without having read a configuration,
-/// and took an unknown queue for one with a single attempt. The end was stored,
-/// so no later owner could take it back.
+/// Guards against a job that fails after one failed run although two attempts are allowed.
+/// Its owner had just taken over, had read no configuration, and assumed a single attempt
+/// for the unknown queue. The end was stored, so no later owner could revoke it.
 #[test]
-fn an_owner_without_a_configuration_judges_no_attempts() {
-    let (fleet, job) = one_failed_run();
+fn an_owner_without_a_configuration_fails_no_job() {
+    let (fleet, job) = one_unreported_failure();
     let id = job.0;
 
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[job], true);
     next.advance(100);
-    let shown_meanwhile = next.scheduler.job_status(id);
+    let status_without_terms = next.scheduler.job_status(id);
     next.tell(Input::Configure(Arc::new(configuration(64))));
     next.advance(2_000);
 
-    assert_ne!(shown_meanwhile, Some(JobStatus::Failed));
+    assert_ne!(status_without_terms, Some(JobStatus::Failed));
     assert_second_attempt_completes(&mut next, id);
 }
 
-/// The failures that such an owner heard count once it knows the queue: a third
-/// attempt where two are allowed would be one too many.
+/// Failures that an owner handled without a configuration count once it knows the queue:
+/// otherwise a task would get a third attempt where two are allowed.
 #[test]
-fn failures_heard_before_the_configuration_count_after_it() {
+fn failures_handled_before_the_configuration_count_after_it() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     fleet.end_all(id, EndKind::Failed);
     fleet.advance(2_000);
@@ -133,9 +135,9 @@
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
-/// Urgent work waited behind patient work for as long as its owner lived: the
-/// owner learned of the job before the version of the configuration that brings
-/// the queue, and went by the priority of an unknown one for good.
+/// Guards against urgent work that waits behind non-urgent work for as long as its owner
+/// lives. The owner learned of the job before it read the version of the configuration that
+/// adds the queue, and kept the priority for an unknown queue.
 #[test]
 fn a_job_gets_the_terms_of_its_queue_when_they_become_known() {
     let mut fleet = Fleet::with_workers(1);
@@ -150,18 +152,18 @@
     fleet.advance(50);
 
     let job = fleet.scheduler.jobs().find(|job| job.id == id).unwrap();
-    assert_eq!(before, 0, "nobody knows where it may run");
+    assert_eq!(before, 0, "the service that runs the job is unknown");
     assert_eq!((job.priority, fleet.starts.len()), (0, 1));
     fleet.end_all(id, EndKind::Failed);
     fleet.advance(2_000);
     assert_eq!(fleet.starts.len(), 2, "two attempts are allowed");
 }
 
-/// A job ended as failed after the two attempts of an older version, though the
-/// version under which it was accepted allows three: its owner had not read that
-/// version yet.
+/// Guards against a job that fails after the two attempts of an older version although the
+/// version under which it was accepted allows three. Its owner had not read that version
+/// yet.
 #[test]
-fn terms_of_a_newer_version_than_the_owner_knows_hold() {
+fn terms_stored_with_a_job_apply_before_the_owner_has_read_their_version() {
     let mut fleet = Fleet::with_workers(3);
 
     let id = fleet.submit(1, accepted_under(2, 3));
@@ -171,8 +173,9 @@
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
 }
 
-/// The same owner never read that version, and the next one has no such queue: what
-/// it had read of the queue before is older than what was stored with the job.
+/// An owner never reads the version under which a job was accepted, and the next version
+/// does not have the queue. The terms of the queue that it read before are older than those
+/// stored with the job, so they must not apply.
 #[test]
 fn a_version_that_removes_a_queue_brings_back_no_older_terms() {
     let mut fleet = Fleet::with_workers(3);
@@ -191,10 +194,11 @@
     );
 }
 
-/// A job never ran under the next owner, whose version of the configuration has
-/// its queue no more: what was stored with the job names the service.
+/// Guards against a job that never runs under the next owner because that owner's version
+/// of the configuration does not have its queue any more: the terms stored with the job
+/// name the service.
 #[test]
-fn a_queue_that_is_gone_is_known_by_what_was_stored_with_its_job() {
+fn a_removed_queue_is_known_by_the_terms_stored_with_its_job() {
     let (mut fleet, id, job) = Fleet::with_job(2, accepted_under(1, 2));
     fleet.end_all(id, EndKind::Failed);
 
@@ -204,78 +208,79 @@
     assert_second_attempt_completes(&mut next, id);
 }
 
-/// A job failed although its task was done. A run of the task had failed before, and
-/// a version that allows one attempt came while another task was still at work.
+/// Guards against a job that fails although its tasks complete. A run of one task had
+/// failed, and a version that allows one attempt was read while tasks were still running.
 #[test]
-fn a_version_with_fewer_attempts_ends_nothing_by_itself() {
+fn a_version_with_fewer_attempts_fails_no_job_by_itself() {
     let (mut fleet, id, _) = Fleet::with_job(2, record("plain", vec![step(2, 1)]));
     let (worker, failed) = fleet.running()[0].clone();
     fleet.end_run(&worker, failed, EndKind::Failed);
     fleet.advance(2_000);
 
-    fleet.tell(Input::Configure(Arc::new(allowing(2, 1))));
+    fleet.tell(Input::Configure(Arc::new(with_max_attempts(2, 1))));
     fleet.advance(100);
-    let shown = fleet.scheduler.job_status(id);
+    let status_after_change = fleet.scheduler.job_status(id);
     fleet.end_all(id, EndKind::Done);
     fleet.advance(100);
 
-    assert_eq!(shown, Some(JobStatus::Running));
+    assert_eq!(status_after_change, Some(JobStatus::Running));
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
 }
 
-/// A done task that failed before does not fail its job when the terms of the queue
+/// A task that failed before it completed does not fail its job when the terms of the queue
 /// become known.
 #[test]
-fn what_is_done_is_not_judged_when_terms_become_known() {
+fn failures_of_completed_tasks_do_not_count_when_terms_become_known() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(2, 1)]));
     let (worker, first) = fleet.running()[0].clone();
     fleet.end_run(&worker, first, EndKind::Failed);
     fleet.advance(2_000);
-    let mut again = fleet
+    let mut restarted = fleet
         .running()
         .into_iter()
         .filter(|(_, run)| run.task == first.task);
-    let (worker, second) = again.next().unwrap();
+    let (worker, second) = restarted.next().unwrap();
     fleet.end_run(&worker, second, EndKind::Done);
     fleet.advance(100);
 
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(200);
-    next.tell(Input::Configure(Arc::new(allowing(1, 1))));
+    next.tell(Input::Configure(Arc::new(with_max_attempts(1, 1))));
     next.advance(200);
 
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Running));
 }
 
-/// Urgent runs were thrown away for others, and a job was late by an objective of
-/// nothing: both had been set before the terms of the queue were known.
+/// Guards against urgent runs that are preempted, and a job that counts as late because its
+/// objective allows no time: priority and objective had been set before the terms of the
+/// queue were known.
 #[test]
-fn objectives_and_runs_follow_the_terms() {
+fn objectives_and_priorities_of_runs_follow_the_terms() {
     let (fleet, id, job) = Fleet::with_job(2, record("urgent", vec![step(1, 1)]));
     let objective = |fleet: &Fleet| {
         let group = fleet.scheduler.groups().next().unwrap();
         group.objective_length_ms
     };
-    let told = objective(&fleet);
+    let objective_with_terms = objective(&fleet);
 
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(200);
-    let untold = objective(&next);
+    let objective_without_terms = objective(&next);
     next.tell(Input::Configure(Arc::new(configuration(64))));
     next.advance(50);
 
-    assert!(untold < told);
-    assert_eq!(objective(&next), told);
+    assert!(objective_without_terms < objective_with_terms);
+    assert_eq!(objective(&next), objective_with_terms);
     assert_eq!(run_priorities(&next), [0]);
 }
 
-/// What was left running by a job that an older program stored, in a queue that is
-/// gone, is not thrown away for urgent work beyond a guarantee: it may be urgent
-/// itself.
+/// Runs that may themselves be urgent are not preempted for urgent work beyond a guarantee.
+/// Their job was stored by an older version of the program, without terms, and its queue
+/// was removed.
 #[test]
-fn runs_of_a_job_whose_terms_nobody_knows_are_not_preempted() {
+fn runs_of_a_job_with_unknown_terms_are_not_preempted() {
     let (fleet, id, job) = Fleet::with_job(1, record("plain", vec![step(8, 1)]));
 
     let mut next = fleet.next_owner_under(2, without_plain(2), &[(id, job)], true);
@@ -291,13 +296,13 @@
         matches!(action, Action::Decided(Decision::TermsUnknown { job, configuration_version: 2, .. })
             if *job == id)
     };
-    assert!(next.actions.iter().any(waits), "on-call is told");
+    assert!(next.actions.iter().any(waits), "the job is logged");
 }
 
-/// An owner that starts nothing stopped a run on a worker that was leaving, to have
-/// it run elsewhere.
+/// Guards against lost runs: an owner without a configuration, which starts nothing,
+/// stopped a run on a draining worker in order to move it.
 #[test]
-fn an_owner_without_a_configuration_moves_nothing() {
+fn an_owner_without_a_configuration_moves_no_run() {
     let (fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let (there, _) = fleet.running()[0].clone();
     let unknown = ClusterConfiguration::default();
@@ -310,11 +315,12 @@
     assert_eq!(next.running().len(), 1, "stops {:?}", next.stops);
 }
 
-/// The line of a failed gang names the member that failed.
+/// The logged failure of a gang names the member that failed, not the first one, which
+/// carries the count of failures.
 #[test]
-fn the_failure_of_a_gang_names_its_member() {
+fn the_failure_of_a_gang_names_the_failed_member() {
     let mut fleet = Fleet::with_workers(3);
-    fleet.tell(Input::Configure(Arc::new(allowing(2, 1))));
+    fleet.tell(Input::Configure(Arc::new(with_max_attempts(2, 1))));
     let id = fleet.submit(1, record("plain", vec![gang(4, 1)]));
     fleet.advance(200);
     let member = |(_, name): &(String, RunName)| name.task.index == 2;
@@ -330,15 +336,16 @@
 /// A queue that allows no attempt at all would fail every job before its first run.
 #[test]
 fn a_queue_allows_at_least_one_attempt() {
-    let mut none = queue("plain", 1);
-    none.max_attempts = 0;
+    let mut no_attempts = queue("plain", 1);
+    no_attempts.max_attempts = 0;
 
-    assert_eq!(none.terms_in(1).terms.max_attempts, 1);
+    assert_eq!(no_attempts.terms_in(1).terms.max_attempts, 1);
 }
 
-/// A task got a third attempt where two are allowed. The last failure was counted, and
-/// stored, by an owner that knew no terms and was gone before it read a configuration;
-/// the owner after it knew the terms from the start, and judged nothing.
+/// Guards against a third attempt of a task where two are allowed. The last failure was
+/// counted and stored by an owner that did not know the terms and was gone before it read a
+/// configuration. The owner after it knew the terms from the start, but did not compare the
+/// stored failures with them.
 #[test]
 fn failures_stored_by_an_owner_without_terms_count_for_the_next_owner() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
