--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -1,14 +1,16 @@
-//! Noting in the store which workers get no more starts, and what may run there.
+//! Stores which workers are closed, that is, get no more starts, and which runs they may
+//! have.
 //!
-//! Load pattern: in a large fleet some worker is leaving or out of reach at any
-//! moment. Starts are not stored, so a new owner that cannot reach one worker of
-//! the roster cannot know which tasks run there, and all stored work would wait
-//! for the longest lease, whatever that one worker holds. So an owner that gives
-//! a worker no more starts has that stored, with the runs that may be there: a
-//! new owner then holds back just their tasks. Limits: only workers that this
-//! owner has looked at, so that the list is whole; only while the store answers,
-//! so that a worker that returns in an outage is not kept idle by it; and a
-//! worker that answers again gets work only after that is stored as well.
+//! In a large fleet some worker is draining or unreachable at any moment. Starts are not
+//! stored, so a new owner that cannot reach one worker of the roster cannot know which
+//! tasks run on it, and all stored work would have to wait for the longest lease. So an
+//! owner that stops sending starts to a worker stores that the worker is closed, with the
+//! runs that it may have. A new owner then holds back only the tasks of these runs.
+//!
+//! - Only workers that this owner has polled are closed, so the list of runs is complete.
+//! - Workers are closed only while the store answers; otherwise a worker that returns
+//!   during a store outage would stay idle until the end of the outage.
+//! - A closed worker that answers again gets work only after it is stored as open.
 
 use super::action::Action;
 use super::state::Scheduler;
@@ -26,45 +28,47 @@
 };
 use crate::core::WorkerKey;
 
-/// Looks in a row without an answer after which a worker is closed: one lost
-/// answer is common, and closing costs a commit.
+/// Failed polls in a row after which a worker is closed. A single lost answer is common,
+/// and closing costs a commit.
 const CLOSE_AFTER_POLLS: u32 = 2;
-/// The same where a suspect was just started: an owner that is followed before it is
-/// stored leaves the next one without that crash.
+/// Failed polls after which a worker is closed if a suspect was just started on it. If
+/// the owner changes before the worker is stored as closed, the next owner does not learn
+/// of the crash.
 const CLOSE_AFTER_TRIAL_POLLS: u32 = 1;
-/// The store answered this lately: twice the time between confirmations.
-const STORE_ANSWERS_MS: u64 = 1_200;
+/// Time since the last confirmation of the epoch within which the store counts as
+/// answering: twice the interval between confirmations.
+const STORE_ANSWER_MAX_AGE_MS: u64 = 1_200;
 
 impl Scheduler {
-    /// Closes a worker that gets no more starts, or opens it again.
+    /// Starts to close a worker that is unreachable or draining, or to open it again.
     pub(super) fn review_closing(&mut self, key: WorkerKey) {
-        let store_answers = self.now_ms < self.confirmed_ms + STORE_ANSWERS_MS;
+        let store_is_answering = self.now_ms < self.confirmed_ms + STORE_ANSWER_MAX_AGE_MS;
         let worker = self.worker_mut(key);
         let mut runs = worker.runs.values();
-        let looks = match runs.any(|run| run.on_trial && run.is_unproven()) {
+        let polls_to_close = match runs.any(|run| run.on_trial && run.is_start_unproven()) {
             true => CLOSE_AFTER_TRIAL_POLLS,
             false => CLOSE_AFTER_POLLS,
         };
-        let silent =
-            worker.contact == Contact::Silent && (worker.failed_polls >= looks || !worker.listed);
-        let leaving = worker.info.draining && worker.contact == Contact::Answering;
+        let unresponsive = worker.contact == Contact::Unresponsive
+            && (worker.failed_polls >= polls_to_close || !worker.listed);
+        let draining_now = worker.info.draining && worker.contact == Contact::Answering;
         let next = match worker.close_state {
-            CloseState::Open if silent || leaving => CloseState::Closing,
+            CloseState::Open if unresponsive || draining_now => CloseState::Closing,
             CloseState::Closed
-                if worker.contact == Contact::Answering && worker.listed && !leaving =>
+                if worker.contact == Contact::Answering && worker.listed && !draining_now =>
             {
                 CloseState::Opening
             }
             _ => return,
         };
-        if store_answers {
+        if store_is_answering {
             worker.close_state = next;
             self.actions.push(Action::StoreClosedWorker { worker: key });
         }
     }
 
-    /// What is to be stored of a worker: the runs that may be there if it is
-    /// closed. `None` for a worker that is gone.
+    /// Returns what to store about a worker: whether it is closed and, if so, the runs that
+    /// it may have. `None` for a worker that is gone.
     pub fn closed_record(&self, key: WorkerKey) -> Option<(bool, ClosedRuns)> {
         let worker = self.worker(key);
         if worker.contact == Contact::Gone {
@@ -74,20 +78,20 @@
         if !closed {
             return Some((false, ClosedRuns::default()));
         }
-        // An end that is not durable is known only here and on the worker.
+        // An end that is not durable yet is known only to this owner and to the worker.
         let ended = worker.unacknowledged_ends.iter().map(|end| end.row.name);
         let runs = worker.runs.keys().copied().chain(ended).collect();
         let lost = worker.lost.iter().copied();
         let confirmed = worker.confirmed_runs().chain(lost).collect();
-        let there = ClosedRuns {
+        let closed_runs = ClosedRuns {
             incarnation_start_ms: worker.incarnation_start_ms,
             runs,
             confirmed,
         };
-        Some((true, there))
+        Some((true, closed_runs))
     }
 
-    /// It is stored whether a worker is closed.
+    /// Records that a worker is now stored as closed or open.
     pub(super) fn handle_closed_worker_stored(&mut self, worker_name: &str, closed: bool) {
         let Some(&key) = self.worker_index.get(worker_name) else {
             return;
@@ -101,8 +105,8 @@
         self.changed = true;
     }
 
-    /// An earlier owner closed the worker: these runs may be there, and nothing
-    /// else is.
+    /// Restores a worker that an earlier owner closed. It may have the given runs and has
+    /// no others.
     pub(super) fn take_closed(&mut self, key: WorkerKey, closed: ClosedRuns) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
@@ -122,15 +126,16 @@
         worker.lost = lost;
     }
 
-    /// A run with a higher number was found: an owner started it only after it
-    /// knew that those before were over, whatever the store still says.
+    /// Drops the unseen runs of a task, or of its gang, that are older than a run that was
+    /// found. An owner starts a run only after all earlier ones have ended, even if the
+    /// store still names them.
     pub(super) fn drop_older_claims(&mut self, found: RunName) {
         let key = GroupKey::of(found.task);
         let Some(group) = self.groups.get(&key) else {
             return;
         };
         let members = (0u32..).zip(&group.tasks);
-        let older: Vec<_> = members
+        let older_runs: Vec<_> = members
             .filter(|(index, _)| group.step.gang || *index == found.task.index)
             .filter_map(|(index, task)| match task.state {
                 TaskState::Placed { worker, run } if run < found.run => {
@@ -140,13 +145,14 @@
                 _ => None,
             })
             .collect();
-        for (worker, name) in older {
-            self.drop_claim(worker, name);
+        for (worker, name) in older_runs {
+            self.drop_unseen_run(worker, name);
         }
     }
 
-    /// Lets go of a run that was not seen by this owner; any other stays.
-    pub(super) fn drop_claim(&mut self, key: WorkerKey, name: RunName) {
+    /// Removes a run that this owner has not seen on the worker, and makes its task wait
+    /// again. Any other run stays.
+    pub(super) fn drop_unseen_run(&mut self, key: WorkerKey, name: RunName) {
         let run = self.worker(key).runs.get(&name);
         if run.is_none_or(|run| run.phase != RunPhase::Unseen) {
             return;
@@ -160,8 +166,8 @@
             run: name.run,
         };
         let index = name.task.index;
-        let there = group.tasks.get(index as usize);
-        if there.is_some_and(|task| task.state == placed) {
+        let task = group.tasks.get(index as usize);
+        if task.is_some_and(|task| task.state == placed) {
             group.set_state(index, TaskState::Waiting);
             if group.gang_run == Some(name.run) && group.waiting as usize == group.tasks.len() {
                 group.gang_run = None;
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -1,8 +1,8 @@
-//! Workers that come, go, and come back as others.
+//! Tracks which workers exist: registration, the roster, lost leases and exits.
 //!
-//! Load pattern: workers go down and up by turns, each time under a new name at the
-//! same address, and a new owner is told of thousands at once. So they are
-//! found by address, and the place of one that is gone is used again.
+//! Workers may go down and come up repeatedly, each time under a new name at the same
+//! address, and a new owner reads thousands of workers at once. So workers are indexed
+//! by address, and the key of a worker that is gone is reused.
 
 use super::action::{
     Action,
@@ -22,12 +22,12 @@
 };
 use crate::core::WorkerKey;
 
-/// The place of a worker that is gone is used again after this long: ten times
-/// the bound of a call to a worker.
-const VACANT_MS: u64 = 30_000;
+/// Time after which the key of a worker that is gone is reused: ten times the timeout of
+/// a call to a worker.
+const KEY_REUSE_DELAY_MS: u64 = 30_000;
 
 impl Scheduler {
-    /// Workers that the stored roster has to name, with their addresses.
+    /// Returns the names and addresses of the workers that belong on the stored roster.
     pub fn roster(&self) -> Vec<(String, String)> {
         let used = self
             .workers
@@ -40,15 +40,16 @@
         .collect()
     }
 
+    /// Handles a readable entry: adds the worker or updates it.
     pub(super) fn handle_worker_registered(&mut self, info: WorkerInfo) {
         let known = self.worker_index.get(&info.worker_name).copied();
         let key = known.unwrap_or_else(|| self.add_worker(info.clone()));
         let emptied = self.emptying.names(&info.data_centre);
-        self.take_entry(key, info);
+        self.apply_entry(key, info);
         let worker = self.worker_mut(key);
         worker.emptied = emptied;
         if worker.contact == Contact::Gone {
-            // It was silent and not listed for a whole lease, and is back.
+            // It was unresponsive and unlisted for a whole lease, and is registered again.
             worker.contact = Contact::Unfenced;
             self.vacant.retain(|&(_, vacant)| vacant != key);
         }
@@ -62,26 +63,27 @@
         self.changed = true;
     }
 
+    /// Adds a worker under a new or reused key, and returns the key.
     pub(super) fn add_worker(&mut self, info: WorkerInfo) -> WorkerKey {
         let key = self
-            .vacate()
+            .take_vacant_key()
             .unwrap_or(WorkerKey(self.workers.len() as u32));
         self.worker_index.insert(info.worker_name.clone(), key);
-        self.note_address(&info.address, key);
+        self.index_address(&info.address, key);
         let worker = Worker::new(key, info);
         match self.workers.get_mut(key.index()) {
-            Some(place) => *place = worker,
+            Some(slot) => *slot = worker,
             None => self.workers.push(worker),
         }
         key
     }
 
-    /// A worker answered under its name: any other one at its address is
-    /// over. Entries prove nothing: that of a crashed life stays for seconds, and
-    /// that of a living one may be missing.
-    pub(super) fn replace_others(&mut self, key: WorkerKey) {
-        let there = self.address_index.get(&self.worker(key).info.address);
-        let others: Vec<WorkerKey> = there
+    /// Ends every other worker at the address of a worker that answered under its name.
+    /// Entries alone prove nothing: the entry of a crashed incarnation stays for seconds,
+    /// and that of a live one may be missing.
+    pub(super) fn end_replaced_workers(&mut self, key: WorkerKey) {
+        let at_address = self.address_index.get(&self.worker(key).info.address);
+        let others: Vec<WorkerKey> = at_address
             .into_iter()
             .flatten()
             .copied()
@@ -90,32 +92,35 @@
         let next_start_ms = self.worker(key).incarnation_start_ms;
         for other in others {
             let exit_ms = self.latest_exit_ms(other, next_start_ms);
-            self.note_replaced(other, exit_ms);
+            self.count_crashes_of_replaced(other, exit_ms);
             self.worker_exited(other, LossCause::Replaced, exit_ms);
         }
     }
 
-    pub(super) fn note_address(&mut self, address: &str, key: WorkerKey) {
-        let there = self.address_index.entry(address.to_owned()).or_default();
-        there.push(key);
+    /// Adds a worker to the index by address.
+    pub(super) fn index_address(&mut self, address: &str, key: WorkerKey) {
+        let at_address = self.address_index.entry(address.to_owned()).or_default();
+        at_address.push(key);
     }
 
-    pub(super) fn forget_address(&mut self, key: WorkerKey) {
+    /// Removes a worker from the index by address.
+    pub(super) fn unindex_address(&mut self, key: WorkerKey) {
         let address = &self.workers[key.index()].info.address;
-        if let Some(there) = self.address_index.get_mut(address) {
-            there.retain(|&other| other != key);
-            if there.is_empty() {
+        if let Some(at_address) = self.address_index.get_mut(address) {
+            at_address.retain(|&other| other != key);
+            if at_address.is_empty() {
                 let address = address.clone();
                 self.address_index.remove(&address);
             }
         }
     }
 
-    /// A place whose worker is gone for so long that no answer of it can be
-    /// under way: workers that go down and up by turns would fill the memory.
-    fn vacate(&mut self) -> Option<WorkerKey> {
+    /// Returns a key to reuse, if the worker that had it is gone for so long that none of
+    /// its answers can be in flight. Without reuse, workers that go down and come up
+    /// repeatedly would use up the memory.
+    fn take_vacant_key(&mut self) -> Option<WorkerKey> {
         let &(since_ms, key) = self.vacant.front()?;
-        if self.now_ms < since_ms + VACANT_MS {
+        if self.now_ms < since_ms + KEY_REUSE_DELAY_MS {
             return None;
         }
         self.vacant.pop_front();
@@ -124,13 +129,14 @@
         if self.worker_index.get(&before) == Some(&key) {
             self.worker_index.remove(&before);
         }
-        self.forget_address(key);
+        self.unindex_address(key);
         for group in self.groups.values_mut() {
             group.forget_worker(key);
         }
         Some(key)
     }
 
+    /// Handles a worker that the stored roster names, with its runs if it was closed.
     pub(super) fn handle_roster_worker(
         &mut self,
         worker_name: String,
@@ -151,6 +157,7 @@
         }
     }
 
+    /// Handles the removal of a worker's entry.
     pub(super) fn handle_worker_unlisted(&mut self, name: &str) {
         if let Some(&key) = self.worker_index.get(name) {
             self.worker_mut(key).listed = false;
@@ -158,6 +165,8 @@
         }
     }
 
+    /// Handles a stored roster: polls the workers on it, and stores it again if workers
+    /// are missing.
     pub(super) fn handle_roster_stored(&mut self, names: &[String]) {
         for worker_name in names {
             let Some(&key) = self.worker_index.get(worker_name) else {
@@ -177,43 +186,43 @@
         self.changed = true;
     }
 
-    /// After the end of the longest lease nothing runs there any more. A
-    /// worker that is not listed either has left: the roster forgets it, or it
-    /// would hold up the next owner, who could not reach it.
+    /// Ends the runs of an unreachable worker once its longest lease has expired. If the
+    /// worker is not listed either, it has left and is removed from the roster; otherwise
+    /// the next owner, which could not reach it, would wait for it.
     pub(super) fn review_lease_expiry(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let worker = self.worker(key);
-        let silent = matches!(worker.contact, Contact::Silent | Contact::Unfenced);
-        // Nothing runs where this owner has looked, and where all that it
+        let unreachable = matches!(worker.contact, Contact::Unresponsive | Contact::Unfenced);
+        // Nothing runs on a worker that this owner has polled and on which every run
         // ordered since has ended.
-        let empty = worker.contact == Contact::Silent && worker.runs.is_empty();
+        let empty = worker.contact == Contact::Unresponsive && worker.runs.is_empty();
         let never_used = worker.clock.is_none() && now_ms >= self.earlier_leases_over_ms;
-        // What was found there may have a lease of an earlier owner, which
-        // ends before one of this owner does, if it gave any.
-        let lapsed_ms = match (empty || never_used, worker.lease_end_ms) {
+        // Runs found there may hold a lease of an earlier owner. It ends before any lease
+        // that this owner gave.
+        let expired_ms = match (empty || never_used, worker.lease_end_ms) {
             (true, _) => Some(0),
             (false, 0) => Some(self.earlier_leases_over_ms),
             (false, _) => worker.leases_expired_ms(),
         };
-        if !silent || lapsed_ms.is_none_or(|lapsed_ms| now_ms < lapsed_ms) {
+        if !unreachable || expired_ms.is_none_or(|expired_ms| now_ms < expired_ms) {
             return;
         }
         let listed = worker.listed;
         if !worker.runs.is_empty() {
-            self.lose_runs(key, LossCause::LeaseOver, now_ms);
+            self.lose_runs(key, LossCause::LeaseExpired, now_ms);
         }
         if !listed {
             self.worker_gone(key, LossCause::Left);
         }
     }
 
-    /// Whatever ran on a worker is lost: by `exit_ms` the worker had exited or its lease
-    /// had ended.
+    /// Ends all runs of a worker that had exited, or whose lease had expired, by
+    /// `exit_ms`.
     fn lose_runs(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         let names: Vec<RunName> = self.worker(key).runs.keys().copied().collect();
         let confirmed = self.confirmed_runs_with_expected_end(key);
         if self.worker(key).close_state != CloseState::Open {
-            // The store named these runs.
+            // The stored record of the closed worker names these runs.
             self.actions.push(Action::StoreClosedWorker { worker: key });
         }
         let worker = self.worker(key).name();
@@ -223,15 +232,15 @@
             reason: loss.name(),
         });
         for name in names {
-            self.tell_run_lost(key, name, loss, exit_ms);
+            self.log_run_lost(key, name, loss, exit_ms);
             self.run_gone(key, name);
         }
-        self.note_lost(key, confirmed, loss, exit_ms);
+        self.record_lost_runs(key, confirmed, loss, exit_ms);
     }
 
-    /// Logs a lost run: whether its worker responded after its start tells a task
-    /// that crashes its workers from one that was beside it.
-    fn tell_run_lost(&mut self, key: WorkerKey, name: RunName, loss: LossCause, exit_ms: u64) {
+    /// Logs a lost run. Whether its worker responded after its start distinguishes a task
+    /// that crashes its workers from one that only ran beside such a task.
+    fn log_run_lost(&mut self, key: WorkerKey, name: RunName, loss: LossCause, exit_ms: u64) {
         let worker = self.worker(key);
         let Some(run) = worker.runs.get(&name) else {
             return;
@@ -248,12 +257,12 @@
         self.decided(decision);
     }
 
-    /// The worker's incarnation is over.
+    /// Ends a worker's incarnation, which may have exited as late as now.
     pub(super) fn worker_gone(&mut self, key: WorkerKey, loss: LossCause) {
         self.worker_exited(key, loss, self.now_ms);
     }
 
-    /// The worker's incarnation is over, and ended no later than `exit_ms`.
+    /// Ends a worker's incarnation, which exited no later than `exit_ms`.
     pub(super) fn worker_exited(&mut self, key: WorkerKey, loss: LossCause, exit_ms: u64) {
         if self.worker(key).contact == Contact::Gone {
             return;
--- a/src/scheduler/poll_report.rs
+++ b/src/scheduler/poll_report.rs
@@ -1,4 +1,7 @@
-//! Handling the results of polls.
+//! Handles the answers to polls and their failures.
+//!
+//! A run that a poll does not show is taken as gone only if the poll was sent late enough
+//! to show it and the worker listed all its ends; otherwise the run could be started twice.
 
 use super::action::StopReason;
 use super::crashes::LossCause;
@@ -22,14 +25,15 @@
 use crate::core::WorkerKey;
 use std::collections::HashSet;
 
-/// Wait before a look that brought an undurable end is repeated, if its end
-/// does not become durable before.
+/// Wait before the next poll if an end that a poll reported is not durable yet. The poll
+/// is sent earlier if the end becomes durable.
 const UNDURABLE_POLL_MS: u64 = 300;
-/// First wait after a look without an answer; it doubles.
+/// First wait after a poll without an answer; it doubles with each further failure.
 const FAILED_POLL_MS: u64 = 100;
-/// Longest such wait: a worker that returns is found this soon.
+/// Longest wait after polls without an answer. A worker that is reachable again is found
+/// within this time.
 const MAX_FAILED_POLL_MS: u64 = 400;
-/// Most ends that a worker lists at a time, as the platform says.
+/// Most ends that a worker lists in one answer, by the platform's specification.
 const MAX_LISTED_ENDS: usize = 500;
 
 impl Scheduler {
@@ -41,14 +45,14 @@
         if worker.contact == Contact::Gone {
             return;
         }
-        let key = self.answering(key, sent_ms, &report);
+        let key = self.resolve_incarnation(key, sent_ms, &report);
         let worker = self.worker_mut(key);
-        let is_back = worker.contact != Contact::Answering;
-        if is_back || worker.failed_polls > 0 {
+        let is_reconnected = worker.contact != Contact::Answering;
+        if is_reconnected || worker.failed_polls > 0 {
             self.changed = true;
         }
-        if is_back {
-            self.replace_others(key);
+        if is_reconnected {
+            self.end_replaced_workers(key);
         }
         let worker = self.worker_mut(key);
         worker.contact = Contact::Answering;
@@ -58,7 +62,7 @@
         worker.clock = Some((report.clock_ms, now_ms));
         worker.clock_doubted = false;
         let listed: HashSet<RunName> = report.ended.iter().map(|row| row.name).collect();
-        let lists_all = report.ended.len() < MAX_LISTED_ENDS;
+        let lists_all_ends = report.ended.len() < MAX_LISTED_ENDS;
         let mut ended = report.ended;
         ended.sort_by_key(|row| row.number);
         for row in ended {
@@ -71,17 +75,17 @@
         for row in report.running {
             seen.insert(row.name);
             if !listed.contains(&row.name) {
-                self.take_running(key, row, report.clock_ms);
+                self.handle_running(key, row, report.clock_ms);
             }
         }
-        // A run whose end finds no place on a full list is not listed either:
-        // taken for gone, it would be started again though it may be done.
-        if lists_all {
-            self.settle_absent(key, sent_ms, &seen);
+        // The end of a run may be missing from a full list. If the run were taken as gone,
+        // it would be started again although it may be done.
+        if lists_all_ends {
+            self.remove_absent_runs(key, sent_ms, &seen);
         }
-        self.answered_at_address(key);
+        self.review_entry_after_answer(key);
         self.review_recovery();
-        // Looking again at once would bring the same ends until they are durable.
+        // An immediate poll would return the same ends until they are durable.
         let all_durable = self.advance_last_seen(key);
         self.worker_mut(key).poll_at_ms = match all_durable {
             true => now_ms,
@@ -93,28 +97,29 @@
     /// Handles the failure of a poll.
     pub(super) fn handle_poll_failure(&mut self, key: WorkerKey, outcome: CallOutcome) {
         let now_ms = self.now_ms;
-        let judged = self.judged(key, outcome);
+        let effective_outcome = self.judged(key, outcome);
         self.poll_ended(key);
         self.try_other_address(key);
         let worker = self.worker_mut(key);
         worker.failed_polls += 1;
         let wait_ms = FAILED_POLL_MS << (worker.failed_polls - 1).min(2);
         worker.poll_at_ms = now_ms + wait_ms.min(MAX_FAILED_POLL_MS);
-        match judged {
+        match effective_outcome {
             CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
             _ if worker.contact == Contact::Answering => {
-                worker.contact = Contact::Silent;
+                worker.contact = Contact::Unresponsive;
                 self.changed = true;
             }
             _ => {}
         }
     }
 
-    fn take_running(&mut self, key: WorkerKey, row: RunningRow, clock_ms: u64) {
+    /// Updates a run that the worker reports as running, or adopts it if it is unknown.
+    fn handle_running(&mut self, key: WorkerKey, row: RunningRow, clock_ms: u64) {
         let now_ms = self.now_ms;
-        self.keep_checkpoint(&row);
-        self.drop_claim(key, row.name);
+        self.record_checkpoint(&row);
+        self.drop_unseen_run(key, row.name);
         let worker = self.worker_mut(key);
         let Some(run) = worker.runs.get_mut(&row.name) else {
             self.adopt(key, &row);
@@ -126,7 +131,7 @@
             run.conclusive_ms = Some(now_ms + CONCLUSIVE_MS);
             self.note_started(row.name);
         }
-        self.note_outlived(key, row.name);
+        self.record_outlived_start(key, row.name);
         let worker = self.worker_mut(key);
         let Some(run) = worker.runs.get_mut(&row.name) else {
             return;
@@ -141,8 +146,8 @@
         self.learn_from(key, row.name);
     }
 
-    /// Keeps the checkpoint of a run that is its task's present one.
-    fn keep_checkpoint(&mut self, row: &RunningRow) {
+    /// Records the checkpoint of a run with its task.
+    fn record_checkpoint(&mut self, row: &RunningRow) {
         if row.checkpoint.is_empty() {
             return;
         }
@@ -150,9 +155,9 @@
             return;
         };
         if group.step.gang {
-            // A member's checkpoint holds for all, and all carry the same.
-            let same = group.tasks[0].checkpoint.as_deref() == Some(&*row.checkpoint);
-            if !same {
+            // All members of a gang share one checkpoint.
+            let is_recorded = group.tasks[0].checkpoint.as_deref() == Some(&*row.checkpoint);
+            if !is_recorded {
                 for task in &mut group.tasks {
                     task.checkpoint = Some(row.checkpoint.clone());
                 }
@@ -162,15 +167,16 @@
         }
     }
 
-    /// Takes over a run that an earlier owner started, or stops one that has
-    /// no place any more.
+    /// Adopts a run that an earlier owner started. A run that no longer belongs to a
+    /// waiting task is stopped.
     pub(super) fn adopt(&mut self, key: WorkerKey, row: &RunningRow) {
         let now_ms = self.now_ms;
         self.drop_older_claims(row.name);
         let group_key = GroupKey::of(row.name.task);
         let index = row.name.task.index;
-        let (mut fits, mut run) = (false, Run::found(now_ms, group_key));
-        // What it takes is not known: nothing else goes there meanwhile.
+        let (mut is_current, mut run) = (false, Run::found(now_ms, group_key));
+        // The resources of the run are not known, so nothing else is started there
+        // meanwhile.
         run.resources = self.worker(key).info.capacity;
         run.resources_unknown = true;
         if let Some(group) = self.groups.get_mut(&group_key) {
@@ -180,15 +186,15 @@
             run.throttle_percent = if run.fills { u32::MAX } else { 100 };
             run.serves = group.step.serves();
             run.long_running = group.step.long_running;
-            let gang_fits = !group.step.gang
+            let gang_is_current = !group.step.gang
                 || (!group.gang_ending && group.gang_run.is_none_or(|run| run == row.name.run));
             let task = group.tasks.get(index as usize);
-            let waits = task.is_some_and(|task| task.state == TaskState::Waiting);
-            let newest = task.is_some_and(|task| task.last_run <= row.name.run);
-            fits = gang_fits && waits && newest;
-            // Also a run that will be stopped holds its task: started anew
-            // before the run is off the worker, the task would run twice.
-            if waits {
+            let is_waiting = task.is_some_and(|task| task.state == TaskState::Waiting);
+            let is_newest = task.is_some_and(|task| task.last_run <= row.name.run);
+            is_current = gang_is_current && is_waiting && is_newest;
+            // A run that will be stopped holds its task as well. If the task were started
+            // again before the run has left the worker, the task would run twice.
+            if is_waiting {
                 let state = TaskState::Placed {
                     worker: key,
                     run: row.name.run,
@@ -196,7 +202,7 @@
                 group.set_state(index, state);
                 let task = &mut group.tasks[index as usize];
                 task.last_run = task.last_run.max(row.name.run);
-                if group.step.gang && fits {
+                if group.step.gang && is_current {
                     group.gang_run = Some(row.name.run);
                 }
             }
@@ -208,14 +214,15 @@
         run.percent = row.percent;
         run.usage = row.usage;
         self.worker_mut(key).add_run(row.name, run);
-        // A job that does not read keeps what it has.
-        if !fits && !self.is_unreadable(row.name.task.job) {
+        // The runs of a job that cannot be decoded are left alone.
+        if !is_current && !self.is_unreadable(row.name.task.job) {
             self.stop_run(key, row.name, StopReason::Stray);
         }
     }
 
-    /// Runs that a conclusive look does not show are off the worker.
-    fn settle_absent(&mut self, key: WorkerKey, sent_ms: u64, seen: &HashSet<RunName>) {
+    /// Removes the runs that a conclusive poll does not show: they are no longer on the
+    /// worker.
+    fn remove_absent_runs(&mut self, key: WorkerKey, sent_ms: u64, seen: &HashSet<RunName>) {
         let absent: Vec<RunName> = self
             .worker(key)
             .runs
@@ -239,16 +246,16 @@
         name: RunName,
         outcome: CallOutcome,
     ) {
-        let judged = self.judged(key, outcome);
+        let effective_outcome = self.judged(key, outcome);
         let Some(run) = self.worker_mut(key).runs.get_mut(&name) else {
             return;
         };
         run.throttle_in_flight = false;
-        match judged {
+        match effective_outcome {
             CallOutcome::Done => {}
             CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
-            // Unknown: the next review sends the pace again.
+            // The limit in force is unknown: the next review sends the throttle order again.
             CallOutcome::Refused(_) | CallOutcome::NoAnswer => run.throttle_percent = u32::MAX,
         }
     }
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -1,14 +1,15 @@
-//! Upkeep of machines in waves.
+//! Carries out the upkeep of machines, which is planned maintenance, in waves.
 //!
-//! Load pattern: operators ask that some machines have their upkeep within a
-//! time, so many at once at most; an upkeep ends whatever runs on its machine.
-//! So the machines that come next get no new starts, lasting tasks move off them
-//! one by one within their bounds, and the upkeep begins when nothing is left to
-//! lose, or when the rest of the wave would not be in time otherwise. Limits: no
-//! more machines than the wave allows are down or in doubt at a time, a task
-//! with a bound on its step is never ended beyond it, however late the wave is,
-//! and a new owner gives no such order while the one before may still be
-//! giving its last ones.
+//! An operator orders the upkeep of some machines within a given time, with a cap on how
+//! many of them are down at once. The upkeep of a machine ends whatever runs on it. So the
+//! machines that are next get no new starts, and long-running tasks move off them one by
+//! one, as far as the bounds of their steps allow. The upkeep of a machine begins when
+//! nothing runs on it any more, or when the rest of the wave would be late otherwise.
+//!
+//! - No more machines than the cap are down, or may be down, at a time.
+//! - The bound on unavailable tasks of a step holds even if the wave is late.
+//! - A new owner orders no upkeep while the previous owner may still be sending its last
+//!   orders.
 
 use super::action::{
     Action,
@@ -28,64 +29,64 @@
     BTreeSet, //
 };
 
-/// How often the list of machines is read while a wave is open.
-const LIST_MS: u64 = 1_000;
-/// Wait before an upkeep without an answer is ordered again: the same order
-/// twice does no harm.
-const ORDER_AGAIN_MS: u64 = 400;
-/// Wait after the platform said that there are too many calls.
-const LIMITED_MS: u64 = 1_000;
-/// Time of one machine beyond its upkeep: a list has to show it back, and the
-/// next one has to be chosen.
+/// Interval between reads of the list of machines while a wave is open.
+const LIST_INTERVAL_MS: u64 = 1_000;
+/// Wait before an order for an upkeep that had no answer is sent again. Orders are
+/// idempotent.
+const REORDER_WAIT_MS: u64 = 400;
+/// Wait after the platform answered that there are too many calls.
+const RATE_LIMITED_WAIT_MS: u64 = 1_000;
+/// Time that a machine takes beyond its upkeep: a list has to show that it is up again, and
+/// the next machine has to be chosen.
 const ROUND_MARGIN_MS: u64 = 1_500;
-/// Lists in a row without a machine after which it has left.
+/// Number of lists in a row without a machine after which the machine counts as removed.
 const ABSENT_LISTS: u32 = 2;
 
-/// Where a machine stands, by the platform's list.
+/// The state of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MachineState {
-    /// It works.
+    /// It is in service.
     Up,
-    /// It has its upkeep.
+    /// Its upkeep is in progress.
     Upkeep,
-    /// It is down, or moves to another pool.
+    /// It is down, or is being moved to another pool.
     Away,
 }
 
-/// A machine by the platform's list.
+/// A machine in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MachineInfo {
-    /// Its name, which stays with it.
+    /// Its name, which does not change.
     pub machine: String,
-    /// Where it stands.
+    /// Its state.
     pub state: MachineState,
     /// The name of its worker, if it has one.
     pub worker_name: Option<String>,
 }
 
-/// What an operator asked for.
+/// An operator's order for the upkeep of some machines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WaveOrder {
-    /// Its number.
+    /// The number of the wave.
     pub number: u64,
     /// The machines.
     pub machines: Vec<String>,
-    /// The time for all of them.
+    /// The time within which all of them have to be done.
     pub duration_ms: u64,
-    /// Most machines that are down at a time.
+    /// Most machines that may be down at a time.
     pub cap: u32,
 }
 
-/// What became of an order for an upkeep.
+/// The outcome of an order for the upkeep of a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpkeepOutcome {
     /// It has begun, now or earlier.
     Begun,
     /// The machine is not up; nothing was done.
     Busy,
-    /// The machine is not of the wave, or there is no such machine.
+    /// The machine is not part of the wave, or does not exist.
     NotOfWave,
-    /// Another owner has given a newer order.
+    /// An owner with a higher epoch has given an order.
     Fenced,
     /// Too many calls; nothing was done.
     Limited,
@@ -94,7 +95,7 @@
 }
 
 impl UpkeepOutcome {
-    /// The outcome as logs and counters name it.
+    /// Returns the name of the outcome in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::Begun => "begun",
@@ -107,44 +108,52 @@
     }
 }
 
-/// Where a machine of a wave stands.
+/// The stage of a machine in a wave.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Turn {
-    /// Its upkeep is to come.
+enum MachineStage {
+    /// Its upkeep has not been scheduled yet.
     Waiting,
-    /// It comes next: it gets no new starts.
+    /// It is next: its worker gets no new starts.
     Chosen,
     /// Its upkeep is ordered, and may have begun.
-    Ordered { in_flight: bool, again_ms: u64 },
-    /// Its upkeep began before this time.
+    Ordered { in_flight: bool, retry_ms: u64 },
+    /// Its upkeep had begun at this time.
     Down { since_ms: u64 },
-    /// It had its upkeep, or has left.
-    Over,
+    /// Its upkeep is done, or it was removed.
+    Finished,
 }
 
+/// An open wave.
 #[derive(Clone, Debug)]
 struct Wave {
     due_ms: u64,
     cap: usize,
-    turns: BTreeMap<String, Turn>,
+    stages: BTreeMap<String, MachineStage>,
     absent: BTreeMap<String, u32>,
 }
 
 impl Wave {
-    fn left(&self) -> usize {
-        let left = |turn: &&Turn| **turn != Turn::Over;
-        self.turns.values().filter(left).count()
+    /// Returns the number of machines whose upkeep is not done.
+    fn unfinished(&self) -> usize {
+        let unfinished = |stage: &&MachineStage| **stage != MachineStage::Finished;
+        self.stages.values().filter(unfinished).count()
     }
 
-    /// Machines that are down or may be.
+    /// Returns the number of machines that are down or may be down.
     fn down(&self) -> usize {
-        let down = |turn: &&Turn| matches!(turn, Turn::Ordered { .. } | Turn::Down { .. });
-        self.turns.values().filter(down).count()
+        let down = |stage: &&MachineStage| {
+            matches!(
+                stage,
+                MachineStage::Ordered { .. } | MachineStage::Down { .. }
+            )
+        };
+        self.stages.values().filter(down).count()
     }
 
+    /// Returns the machines that are next.
     fn chosen(&self) -> impl Iterator<Item = &String> {
-        let turns = self.turns.iter();
-        let chosen = turns.filter(|(_, turn)| **turn == Turn::Chosen);
+        let stages = self.stages.iter();
+        let chosen = stages.filter(|(_, stage)| **stage == MachineStage::Chosen);
         chosen.map(|(machine, _)| machine)
     }
 }
@@ -161,23 +170,25 @@
 }
 
 impl Scheduler {
-    /// Takes in a wave; one that is known stays as it is.
+    /// Handles an order for a wave. A known wave is not changed.
     pub(super) fn handle_wave(&mut self, order: WaveOrder) {
         let known = self.upkeep.waves.contains_key(&order.number)
             || self.upkeep.completed.contains(&order.number);
         if known {
             return;
         }
-        // An owner that finds a wave does not know how long it is open.
+        // An owner that reads a stored wave does not know how long it has been open.
         let left_ms = match self.stored_state_read {
             true => order.duration_ms,
             false => order.duration_ms / 2,
         };
-        let turns = order.machines.into_iter();
+        let stages = order.machines.into_iter();
         let wave = Wave {
             due_ms: self.now_ms + left_ms,
             cap: order.cap.max(1) as usize,
-            turns: turns.map(|machine| (machine, Turn::Waiting)).collect(),
+            stages: stages
+                .map(|machine| (machine, MachineStage::Waiting))
+                .collect(),
             absent: BTreeMap::new(),
         };
         self.upkeep.waves.insert(order.number, wave);
@@ -187,8 +198,8 @@
         });
     }
 
-    /// Takes in the platform's list of machines, asked for at `sent_ms`; `None`
-    /// if it did not come.
+    /// Handles the platform's list of machines, requested at `sent_ms`; `None` if the
+    /// request failed.
     pub(super) fn handle_machine_list(&mut self, sent_ms: u64, machines: Option<Vec<MachineInfo>>) {
         self.upkeep.list_in_flight = false;
         let Some(machines) = machines else {
@@ -198,28 +209,32 @@
         self.upkeep.machines = rows.map(|row| (row.machine.clone(), row)).collect();
         self.upkeep.listed = true;
         for wave in self.upkeep.waves.values_mut() {
-            for (name, turn) in &mut wave.turns {
+            for (name, stage) in &mut wave.stages {
                 let row = self.upkeep.machines.get(name);
                 let absent = wave.absent.entry(name.clone()).or_default();
                 *absent = if row.is_some() { 0 } else { *absent + 1 };
                 let state = row.map(|row| row.state);
-                *turn = match (*turn, state) {
-                    (_, None) if *absent >= ABSENT_LISTS => Turn::Over,
-                    (Turn::Down { since_ms }, Some(MachineState::Up)) if sent_ms >= since_ms => {
-                        Turn::Over
+                *stage = match (*stage, state) {
+                    (_, None) if *absent >= ABSENT_LISTS => MachineStage::Finished,
+                    (MachineStage::Down { since_ms }, Some(MachineState::Up))
+                        if sent_ms >= since_ms =>
+                    {
+                        MachineStage::Finished
                     }
-                    // Begun by an order of an earlier owner.
-                    (Turn::Waiting | Turn::Chosen, Some(MachineState::Upkeep)) => Turn::Ordered {
-                        in_flight: false,
-                        again_ms: sent_ms,
-                    },
-                    (turn, _) => turn,
+                    // An earlier owner ordered this upkeep.
+                    (MachineStage::Waiting | MachineStage::Chosen, Some(MachineState::Upkeep)) => {
+                        MachineStage::Ordered {
+                            in_flight: false,
+                            retry_ms: sent_ms,
+                        }
+                    }
+                    (stage, _) => stage,
                 };
             }
         }
     }
 
-    /// Takes in what became of an order.
+    /// Handles the outcome of an order.
     pub(super) fn handle_upkeep_result(
         &mut self,
         number: u64,
@@ -227,29 +242,29 @@
         outcome: UpkeepOutcome,
     ) {
         let now_ms = self.now_ms;
-        let turn = self.upkeep.waves.get_mut(&number);
-        let Some(turn) = turn.and_then(|wave| wave.turns.get_mut(machine)) else {
+        let stage = self.upkeep.waves.get_mut(&number);
+        let Some(stage) = stage.and_then(|wave| wave.stages.get_mut(machine)) else {
             return;
         };
-        *turn = match outcome {
-            UpkeepOutcome::Begun => Turn::Down { since_ms: now_ms },
+        *stage = match outcome {
+            UpkeepOutcome::Begun => MachineStage::Down { since_ms: now_ms },
             UpkeepOutcome::Busy => {
-                // Not to be chosen again before a list shows it up.
+                // The machine is chosen again only after a list shows it up.
                 self.upkeep.machines.remove(machine);
-                Turn::Waiting
+                MachineStage::Waiting
             }
-            UpkeepOutcome::NotOfWave => Turn::Over,
+            UpkeepOutcome::NotOfWave => MachineStage::Finished,
             UpkeepOutcome::Fenced => {
                 self.actions.push(Action::OwnershipLost);
                 return;
             }
-            UpkeepOutcome::Limited => Turn::Ordered {
+            UpkeepOutcome::Limited => MachineStage::Ordered {
                 in_flight: false,
-                again_ms: now_ms + LIMITED_MS,
+                retry_ms: now_ms + RATE_LIMITED_WAIT_MS,
             },
-            UpkeepOutcome::NoAnswer => Turn::Ordered {
+            UpkeepOutcome::NoAnswer => MachineStage::Ordered {
                 in_flight: false,
-                again_ms: now_ms + ORDER_AGAIN_MS,
+                retry_ms: now_ms + REORDER_WAIT_MS,
             },
         };
         let decision = Decision::Upkeep {
@@ -260,24 +275,24 @@
         self.decided(decision);
     }
 
-    /// Moves the open waves on.
+    /// Advances the open waves.
     pub(super) fn review_upkeep(&mut self) {
         if self.upkeep.waves.is_empty() || !self.has_authority() {
             return;
         }
         if !self.upkeep.list_in_flight && self.now_ms >= self.upkeep.list_at_ms {
             self.upkeep.list_in_flight = true;
-            self.upkeep.list_at_ms = self.now_ms + LIST_MS;
+            self.upkeep.list_at_ms = self.now_ms + LIST_INTERVAL_MS;
             self.actions.push(Action::ListMachines);
         }
         let may_order = self.now_ms >= self.began_ms + self.tuning.holder_gap_ms;
         let numbers: Vec<u64> = self.upkeep.waves.keys().copied().collect();
         for number in numbers {
             if may_order && self.upkeep.listed {
-                self.choose_next(number);
-                self.begin_next(number);
+                self.choose_machines(number);
+                self.order_upkeep(number);
             }
-            if self.upkeep.waves[&number].left() == 0 {
+            if self.upkeep.waves[&number].unfinished() == 0 {
                 self.upkeep.waves.remove(&number);
                 self.upkeep.completed.insert(number);
                 self.actions.push(Action::StoreWaveState {
@@ -286,32 +301,33 @@
                 });
             }
         }
-        self.mark_closing();
+        self.mark_upkeep_next();
     }
 
-    /// Chooses as many machines as may be down, those first that lose least.
-    fn choose_next(&mut self, number: u64) {
+    /// Chooses as many machines as may be down, in ascending order of the work that their
+    /// upkeep would lose.
+    fn choose_machines(&mut self, number: u64) {
         let wave = &self.upkeep.waves[&number];
-        let room = wave.cap.saturating_sub(wave.down() + wave.chosen().count());
-        if room == 0 {
+        let free_slots = wave.cap.saturating_sub(wave.down() + wave.chosen().count());
+        if free_slots == 0 {
             return;
         }
-        let waiting = wave.turns.iter();
+        let waiting = wave.stages.iter();
         let mut waiting: Vec<(f64, String)> = waiting
-            .filter(|(_, turn)| **turn == Turn::Waiting)
+            .filter(|(_, stage)| **stage == MachineStage::Waiting)
             .filter(|(machine, _)| self.is_up(machine))
             .map(|(machine, _)| (self.machine_loss(machine), machine.clone()))
             .collect();
         waiting.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, machine) in waiting.into_iter().take(room) {
-            self.set_turn(number, &machine, Turn::Chosen);
+        for (_, machine) in waiting.into_iter().take(free_slots) {
+            self.set_stage(number, &machine, MachineStage::Chosen);
         }
     }
 
-    fn set_turn(&mut self, number: u64, machine: &str, turn: Turn) {
+    fn set_stage(&mut self, number: u64, machine: &str, stage: MachineStage) {
         let wave = self.upkeep.waves.get_mut(&number);
-        if let Some(own) = wave.and_then(|wave| wave.turns.get_mut(machine)) {
-            *own = turn;
+        if let Some(own) = wave.and_then(|wave| wave.stages.get_mut(machine)) {
+            *own = stage;
         }
     }
 
@@ -320,14 +336,14 @@
         row.is_some_and(|row| row.state == MachineState::Up)
     }
 
-    /// The worker on a machine.
+    /// Returns the worker on a machine.
     fn worker_on(&self, machine: &str) -> Option<WorkerKey> {
         let row = self.upkeep.machines.get(machine)?;
         let worker_name = row.worker_name.as_ref()?;
         self.worker_index.get(worker_name).copied()
     }
 
-    /// Core-seconds that an upkeep would throw away now.
+    /// Returns the core-seconds of work that the upkeep of a machine would lose now.
     fn machine_loss(&self, machine: &str) -> f64 {
         let Some(key) = self.worker_on(machine) else {
             return 0.0;
@@ -336,34 +352,34 @@
         runs.map(|&name| self.lost_core_s(key, name)).sum()
     }
 
-    /// Orders the upkeep of chosen machines that are empty or have to go now,
-    /// and repeats orders without an answer.
-    fn begin_next(&mut self, number: u64) {
+    /// Orders the upkeep of chosen machines that are empty or cannot wait longer, and
+    /// repeats orders without an answer.
+    fn order_upkeep(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let wave = &self.upkeep.waves[&number];
-        let rounds = wave.left().div_ceil(wave.cap) as u64;
+        let rounds = wave.unfinished().div_ceil(wave.cap) as u64;
         let need_ms = rounds * (self.tuning.upkeep_ms + ROUND_MARGIN_MS);
-        let hurry = now_ms + need_ms >= wave.due_ms;
-        let turns: Vec<(String, Turn)> = wave
-            .turns
+        let is_urgent = now_ms + need_ms >= wave.due_ms;
+        let stages: Vec<(String, MachineStage)> = wave
+            .stages
             .iter()
-            .map(|(machine, turn)| (machine.clone(), *turn))
+            .map(|(machine, stage)| (machine.clone(), *stage))
             .collect();
-        for (machine, turn) in turns {
-            let ready = match turn {
-                Turn::Chosen => self.may_begin(&machine, hurry),
-                Turn::Ordered {
+        for (machine, stage) in stages {
+            let ready = match stage {
+                MachineStage::Chosen => self.may_begin(&machine, is_urgent),
+                MachineStage::Ordered {
                     in_flight,
-                    again_ms,
-                } => !in_flight && now_ms >= again_ms,
+                    retry_ms,
+                } => !in_flight && now_ms >= retry_ms,
                 _ => false,
             };
             if ready {
-                let ordered = Turn::Ordered {
+                let ordered = MachineStage::Ordered {
                     in_flight: true,
-                    again_ms: now_ms,
+                    retry_ms: now_ms,
                 };
-                self.set_turn(number, &machine, ordered);
+                self.set_stage(number, &machine, ordered);
                 self.actions.push(Action::BeginUpkeep {
                     wave: number,
                     machine,
@@ -372,51 +388,53 @@
         }
     }
 
-    /// Whether a chosen machine may go down now; lasting tasks are moved off.
-    fn may_begin(&mut self, machine: &str, hurry: bool) -> bool {
+    /// Whether the upkeep of a chosen machine may begin now. Long-running tasks on it are
+    /// stopped if they can move to another worker.
+    fn may_begin(&mut self, machine: &str, is_urgent: bool) -> bool {
         let Some(key) = self.worker_on(machine).filter(|_| self.is_up(machine)) else {
             return self.is_up(machine);
         };
         if self.worker(key).contact == Contact::Unfenced {
-            // What runs there is not known.
+            // It is not known what runs there.
             return false;
         }
         let names: Vec<RunName> = self.worker(key).runs.keys().copied().collect();
         for &name in &names {
-            let lasting = self
+            let is_long_running = self
                 .worker(key)
                 .runs
                 .get(&name)
                 .is_some_and(|run| run.long_running);
-            if lasting && self.may_move(key, name) {
+            if is_long_running && self.may_move(key, name) {
                 self.stop_run(key, name, StopReason::Upkeep);
             }
         }
-        names.is_empty() || (hurry && names.iter().all(|&name| self.may_lose(key, name)))
+        names.is_empty() || (is_urgent && names.iter().all(|&name| self.may_end(key, name)))
     }
 
-    /// Whether a run may be ended with all others on its worker.
-    fn may_lose(&self, key: WorkerKey, name: RunName) -> bool {
+    /// Whether a run may be ended together with all others on its worker.
+    fn may_end(&self, key: WorkerKey, name: RunName) -> bool {
         let Some(group) = self.groups.get(&GroupKey::of(name.task)) else {
             return true;
         };
         let Some(bound) = group.step.max_unavailable else {
             return true;
         };
-        let here = group.on_worker(key);
-        self.away(group, Some(key)) + here <= bound
+        let placed_here = group.on_worker(key);
+        self.away(group, Some(key)) + placed_here <= bound
     }
 
-    /// Tasks of a step that are not at work, on workers other than `but`.
-    pub(super) fn away(&self, group: &super::Group, but: Option<WorkerKey>) -> u32 {
+    /// Returns the number of tasks of a group that are unavailable, without those placed on
+    /// `except`. A task is available while its run is at work on a worker that answers.
+    pub(super) fn away(&self, group: &super::Group, except: Option<WorkerKey>) -> u32 {
         let tasks = (0u32..).zip(&group.tasks);
         let away = tasks.filter(|(index, task)| match task.state {
-            TaskState::Placed { worker, .. } if Some(worker) == but => false,
+            TaskState::Placed { worker, .. } if Some(worker) == except => false,
             TaskState::Placed { worker, run } => {
                 let task = group.key.task(*index);
                 let worker = self.worker(worker);
-                let there = worker.runs.get(&RunName { task, run });
-                let at_work = there.is_some_and(super::Run::is_at_work);
+                let placed_run = worker.runs.get(&RunName { task, run });
+                let at_work = placed_run.is_some_and(super::Run::is_at_work);
                 worker.contact != Contact::Answering || !at_work
             }
             TaskState::Waiting | TaskState::Done => true,
@@ -424,18 +442,20 @@
         away.count() as u32
     }
 
-    /// Workers of the machines that come next get no new starts.
-    fn mark_closing(&mut self) {
+    /// Marks the workers of machines that are next for upkeep, which get no new starts.
+    fn mark_upkeep_next(&mut self) {
         for worker in &mut self.workers {
             worker.upkeep_next = false;
         }
         let waves = self.upkeep.waves.values();
         let next: Vec<String> = waves
             .flat_map(|wave| {
-                let turns = wave.turns.iter();
-                let next = |turn: &Turn| matches!(turn, Turn::Chosen | Turn::Ordered { .. });
-                turns
-                    .filter(move |(_, turn)| next(turn))
+                let stages = wave.stages.iter();
+                let next = |stage: &MachineStage| {
+                    matches!(stage, MachineStage::Chosen | MachineStage::Ordered { .. })
+                };
+                stages
+                    .filter(move |(_, stage)| next(stage))
                     .map(|(machine, _)| machine.clone())
             })
             .collect();
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the scheduler sees it, and the arithmetic of its lease.
+//! The scheduler's record of a worker: its runs, its capacity and its lease.
 
 use super::action::Callee;
 use super::{
@@ -23,125 +23,130 @@
 };
 use std::sync::Arc;
 
-/// A worker's clock may run this much slow, in thousandths; the platform's
-/// bound is 20.
+/// How much slower than real time a worker's clock may run, in thousandths. The
+/// platform guarantees at most 20.
 pub(super) const CLOCK_DRIFT_PERMILLE: u64 = 25;
-/// Added to the end of a lease, for the worker to kill what it runs.
+/// Time after the end of a lease in which the worker kills its runs.
 const LEASE_MARGIN_MS: u64 = 100;
 
-/// A look shows what an order did only if it was sent this much after the
-/// order's answer: both are known to the millisecond, and a look sent in the
-/// same one may have been sent before. A run held to be gone would run twice.
+/// A poll shows the effect of an order only if it was sent this long after the answer
+/// to the order. Both times are known to the millisecond only, so a poll that was sent
+/// in the same millisecond may have been sent before the answer came. A run that is
+/// wrongly taken as absent would be started a second time.
 pub(super) const CONCLUSIVE_MS: u64 = 2;
 
-/// Ends that a worker lists in one answer are 500 at most. One with nearly as many
-/// that wait gets no work: the ends that follow would never be heard of.
+/// A worker with this many unacknowledged ends gets no work. It lists at most 500 ends
+/// in one answer, so further ends might never be reported.
 const MAX_UNACKNOWLEDGED_ENDS: usize = 400;
 
-/// Where a run stands.
+/// The phase of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunPhase {
-    /// An earlier owner noted that it may be there; the worker has not been
-    /// heard since.
+    /// Stored by an earlier owner as possibly on the worker, which has not answered
+    /// this owner since.
     Unseen,
-    /// Ordered; the worker has not confirmed it.
+    /// Its start was ordered; the worker has not confirmed it.
     Starting,
-    /// On the worker.
+    /// The worker reported it as running.
     Running,
-    /// Told to stop; its end is not listed yet.
+    /// Its stop was ordered; the worker has not listed its end yet.
     Stopping,
-    /// Its gang is done; its own end is not listed yet.
+    /// Its gang is done; the worker has not listed the end of this run yet.
     Ending,
 }
 
-/// One run on a worker, from its order to its listed end.
+/// One run on a worker, from its start order to its listed end.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The step that it belongs to.
+    /// The group that it belongs to.
     pub group: GroupKey,
     /// The resources that it takes.
     pub resources: Resources,
-    /// Its resources are not known: it takes all that the worker has.
+    /// Its resources are not known, so it is counted as taking the worker's whole capacity.
     pub resources_unknown: bool,
-    /// Where it stands.
+    /// Its phase.
     pub phase: RunPhase,
-    /// When it was ordered.
+    /// When its start was ordered.
     pub ordered_ms: u64,
-    /// The worker said that it has, or had, it.
+    /// The worker reported that it has, or had, the run.
     pub confirmed: bool,
-    /// The worker responded, with it, some time after its start.
+    /// The worker reported the run long enough after its start that the start did not crash
+    /// the worker.
     pub outlived: bool,
     /// A member of its gang listed an end of its own, so the whole gang has ended.
     pub gang_ended: bool,
-    /// Its task was suspected of crashing workers when it started.
+    /// Its task was suspected of crashing workers when the run was started.
     pub on_trial: bool,
-    /// Orders sent for the present phase.
+    /// Number of orders sent for the current phase.
     pub sends: u32,
-    /// An order is on its way.
+    /// An order is in flight.
     pub in_flight: bool,
-    /// When to send the order again.
+    /// When to send the order again if there is no answer.
     pub resend_ms: u64,
-    /// A look sent from here on shows the run or its end, if it ever ran;
+    /// A poll sent at this time or later shows the run or its end, if it ever ran.
     /// `None` while a start may still arrive.
     pub conclusive_ms: Option<u64>,
-    /// How far it was when last seen.
+    /// Its progress at the last report, in percent.
     pub percent: u32,
-    /// When `percent` last rose.
+    /// When `percent` last changed.
     pub advanced_ms: u64,
-    /// What its progress tells of its worker and of its task.
+    /// Its reported progress, from which the speed of its worker and the run time of its
+    /// task are estimated.
     pub progress: Progress,
-    /// When the worker's report that its last throttle order rested on was received.
+    /// When the worker's report behind the last throttle order was received.
     pub throttled_ms: u64,
-    /// What the worker said of its use: response tail or cores.
+    /// The usage that the worker reported: tail latency or cores.
     pub usage: Option<f64>,
-    /// The share of its full speed to which it is limited.
+    /// The share of its full speed to which it is limited, in percent; `u32::MAX` if no
+    /// limit is known.
     pub throttle_percent: u32,
     /// A throttle order is in flight.
     pub throttle_in_flight: bool,
-    /// Its cores are not counted.
+    /// It runs on spare cores, which are not counted as used.
     pub fills: bool,
-    /// It serves users under a target.
+    /// It serves users and has a latency target.
     pub serves: bool,
     /// It runs until its job is cancelled.
     pub long_running: bool,
-    /// Priority of its queue.
+    /// The priority of its queue.
     pub priority: u32,
 }
 
-/// How well a worker is known.
+/// The state of the contact with a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Contact {
-    /// It has not answered this owner yet.
+    /// It has not answered this owner yet, so it may not know this owner's epoch.
     Unfenced,
-    /// It has seen this owner's epoch and answers.
+    /// It knows this owner's epoch and answered the last poll.
     Answering,
-    /// It has seen this owner's epoch and does not answer now.
-    Silent,
-    /// Its incarnation is over.
+    /// It knows this owner's epoch and did not answer the last poll.
+    Unresponsive,
+    /// Its incarnation has ended.
     Gone,
 }
 
-/// Whether the store says that a worker gets no more starts.
+/// Whether a worker is stored as closed, so that it gets no more starts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CloseState {
-    /// It says nothing: starts may go there.
+    /// The store does not name it as closed; starts may be sent to it.
     Open,
-    /// It is being told so.
+    /// It is being stored as closed.
     Closing,
-    /// It says so.
+    /// It is stored as closed.
     Closed,
-    /// It is being told that starts may go there again.
+    /// It is being stored as open again.
     Opening,
 }
 
 impl Run {
-    /// Whether a task that lasts is past its start.
+    /// Whether the run is running and has reported 100 percent, which for a long-running
+    /// task means that its start is complete.
     pub fn is_at_work(&self) -> bool {
         const AT_WORK_PERCENT: u32 = 100;
         self.phase == RunPhase::Running && self.percent >= AT_WORK_PERCENT
     }
 
-    /// A run found on a worker, or noted by an earlier owner.
+    /// Returns a run that was found on a worker or stored by an earlier owner.
     pub(super) fn found(now_ms: u64, group: GroupKey) -> Self {
         Self {
             group,
@@ -172,93 +177,94 @@
     }
 }
 
-/// A worker.
+/// A worker and what the scheduler knows about it.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Its key.
     pub key: WorkerKey,
-    /// As it registered itself.
+    /// Its registration.
     pub info: WorkerInfo,
-    /// When the incarnation that answers started, by its own account.
+    /// When the incarnation that answers started, as the worker reports it.
     pub incarnation_start_ms: Option<u64>,
-    /// Starts that had no answer: they may be carried out late.
+    /// Starts without an answer, which the worker may still carry out.
     pub late_starts: Vec<LateStart>,
-    /// Since when it says that it is leaving.
+    /// When it first announced that it is draining, if it still does.
     pub draining_since_ms: Option<u64>,
-    /// Its registration is there.
+    /// Its entry is present in the store.
     pub listed: bool,
-    /// Why that names no worker to use, if it does not.
+    /// Why its entry cannot be used, if it cannot.
     pub entry_problem: Option<&'static str>,
-    /// Set if its entry names another address than the one at which it was known.
+    /// Set if its entry names a different address from the known one.
     pub address_conflict: Option<AddressConflict>,
     /// The roster in the store names it.
     pub on_roster: bool,
-    /// Whether the store says that it gets no more starts.
+    /// Whether it is stored as closed.
     pub close_state: CloseState,
-    /// How well it is known.
+    /// The state of the contact with it.
     pub contact: Contact,
-    /// Its clock and when that was read.
+    /// The last reading of its clock, and when that was taken.
     pub clock: Option<(u64, u64)>,
-    /// A start was void on arrival by that clock: it gets none until it is read anew.
+    /// A start had expired on arrival by that clock. The worker gets no more starts until
+    /// its clock is read again.
     pub clock_doubted: bool,
-    /// Highest end of a lease ever sent to it, on its clock.
+    /// The latest end of any lease sent to it, on its clock.
     pub lease_end_ms: u64,
-    /// When it last answered.
+    /// When it last answered a poll.
     pub heard_ms: u64,
-    /// Polls that failed in a row.
+    /// Number of polls that failed in a row.
     pub failed_polls: u32,
-    /// What is there, from the order to the listed end.
+    /// Its runs, each from its start order to its listed end.
     pub runs: BTreeMap<RunName, Run>,
-    /// Room taken by them.
+    /// The resources that its runs take.
     pub used: Resources,
-    /// Ends up to here are durable.
+    /// Number of the last end up to which all ends are durable.
     pub last_seen: u64,
-    /// Number of the last end that was received from it.
+    /// Number of the last end received from it.
     pub last_received_end: u64,
-    /// Ends that were reported but not yet acknowledged, in the order of their numbers.
+    /// Ends that were received and not yet acknowledged, by ascending number.
     pub unacknowledged_ends: VecDeque<UnacknowledgedEnd>,
     /// A poll is in flight.
     pub poll_in_flight: bool,
-    /// That poll is a first one, of which only so many may be in flight.
+    /// The poll in flight is the first one, which counts towards `MAX_FIRST_POLLS`.
     pub first_poll: bool,
     /// When to send the next poll.
     pub poll_at_ms: u64,
-    /// No room there until then, whatever the sums say.
+    /// It gets no starts until then, even if it has free capacity.
     pub full_until_ms: u64,
-    /// It has said that it is leaving.
+    /// It has announced at some time that it is draining.
     pub has_drained: bool,
-    /// Its machine has its upkeep next: it gets nothing.
+    /// Its machine is next for upkeep, so it gets no work.
     pub upkeep_next: bool,
-    /// Its data centre gets no new tasks.
+    /// Its data centre is being emptied and gets no new tasks.
     pub emptied: bool,
-    /// When it was last given a run.
+    /// When it was last sent a start.
     pub started_ms: u64,
-    /// Runs that were lost with its lease; whether it crashed is not known yet.
+    /// Runs that were lost when its lease expired; it is not known yet whether it crashed.
     pub lost: Vec<ConfirmedRun>,
     /// When its incarnation was found to have crashed.
     pub crashed_ms: Option<u64>,
-    /// Kept until then for a task that may crash it.
+    /// Until then it gets no other work than a task that may crash it.
     pub trial_until_ms: u64,
-    /// Gets nothing until then.
+    /// It gets no work until then.
     pub quarantined_until_ms: u64,
-    /// Length of the last quarantine.
+    /// Length of the last quarantine; 0 after a success.
     pub quarantine_ms: u64,
-    /// Jobs that failed there since the last one was done, with the times.
+    /// Jobs that failed on it since the last success, with the times of the failures.
     pub failures: Vec<(u64, JobId)>,
-    /// Run times there against those on a usual worker, as a logarithm.
+    /// Estimated ratio of run times on it to those on an average worker, as a logarithm.
     pub slowness: LogEstimate,
     address: Arc<str>,
     name: Arc<str>,
     rack: Arc<str>,
 }
 
-/// The rack of a worker: the second of its labels.
+/// Returns the rack of a worker, which is the second of its labels.
 fn rack_of(info: &WorkerInfo) -> &str {
     info.labels.get(1).map_or("", String::as_str)
 }
 
 impl Worker {
-    /// A worker that registered itself.
+    /// Returns a worker with this registration that has not been called yet.
     pub fn new(key: WorkerKey, info: WorkerInfo) -> Self {
         Self {
             key,
@@ -303,7 +309,7 @@
         }
     }
 
-    /// Takes in what it says of itself now.
+    /// Applies a new registration.
     pub fn update(&mut self, info: WorkerInfo, now_ms: u64) {
         self.draining_since_ms = match info.draining {
             true => self.draining_since_ms.or(Some(now_ms)),
@@ -315,24 +321,24 @@
         let capacity = info.capacity;
         self.info = info;
         self.listed = true;
-        self.fill_with_unknown(capacity);
+        self.update_unknown_resources(capacity);
     }
 
-    /// Has it called at `address` from now on.
+    /// Sets the address at which it is called.
     pub(super) fn set_address(&mut self, address: &str) {
         self.address = address.into();
     }
 
-    /// A run of which nothing is known holds all the room, also if the capacity
-    /// was not known when it was found.
-    fn fill_with_unknown(&mut self, capacity: Resources) {
+    /// Counts runs of unknown resources as taking all of `capacity`, which may not have
+    /// been known when they were found.
+    fn update_unknown_resources(&mut self, capacity: Resources) {
         for run in self.runs.values_mut().filter(|run| run.resources_unknown) {
             self.used = self.used.minus(&run.resources).plus(&capacity);
             run.resources = capacity;
         }
     }
 
-    /// Whom to call.
+    /// Returns where to send calls to it.
     pub fn callee(&self) -> Callee {
         Callee {
             worker: self.key,
@@ -341,36 +347,37 @@
         }
     }
 
-    /// Its name, for logs.
+    /// Returns its name, for logs.
     pub fn name(&self) -> Arc<str> {
         self.name.clone()
     }
 
-    /// The room left.
+    /// Returns its free capacity.
     pub fn free(&self) -> Resources {
         self.info.capacity.minus(&self.used)
     }
 
-    /// Whether its room has shrunk below what is there. Room of another kind is not to
-    /// be had there either, and what is stopped there makes room for nobody.
+    /// Whether its capacity has shrunk below what its runs take in any resource. It then
+    /// has no free capacity of another resource either, and stopping one of its runs
+    /// frees capacity for no other.
     pub fn is_overfull(&self) -> bool {
         !self.info.capacity.holds(&self.used)
     }
 
-    /// Whether its entry was written by another incarnation than the one that answers.
-    pub fn is_entry_of_another(&self) -> bool {
-        let births = self
+    /// Whether its entry was written by a different incarnation from the one that answers.
+    pub fn has_entry_of_other_incarnation(&self) -> bool {
+        let start_times = self
             .incarnation_start_ms
             .zip(self.info.incarnation_start_ms);
-        births.is_some_and(|(own, written)| own != written)
+        start_times.is_some_and(|(answering_ms, entry_ms)| answering_ms != entry_ms)
     }
 
-    /// Whether its entry is there and names a worker to use.
+    /// Whether its entry is present and valid.
     pub fn is_usable(&self) -> bool {
         self.listed && self.entry_problem.is_none()
     }
 
-    /// Whether new work may go there.
+    /// Whether it may get new work.
     pub fn takes_work(&self, now_ms: u64) -> bool {
         self.contact == Contact::Answering
             && self.is_usable()
@@ -389,40 +396,42 @@
             && now_ms >= self.trial_until_ms
     }
 
-    /// Whether it has the label; an empty one always.
+    /// Whether it has the label. Every worker has the empty label.
     pub fn has_label(&self, label: &str) -> bool {
         label.is_empty() || self.info.labels.iter().any(|own| own == label)
     }
 
-    /// Its rack.
+    /// Returns its rack.
     pub fn rack(&self) -> &Arc<str> {
         &self.rack
     }
 
-    /// Its clock at `now_ms`, as far as known.
+    /// Returns the estimated reading of its clock at `now_ms`; `None` if its clock was
+    /// never read.
     pub fn clock_at(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         Some(clock_ms + now_ms.saturating_sub(read_ms))
     }
 
-    /// Notes a lease that an order carries and returns its end on the worker's
-    /// clock.
+    /// Records a lease of `length_ms` that is sent with an order and returns its end on
+    /// the worker's clock; `None` if that clock was never read.
     pub fn grant(&mut self, now_ms: u64, length_ms: u64) -> Option<u64> {
         let end_ms = self.clock_at(now_ms)? + length_ms;
         self.lease_end_ms = self.lease_end_ms.max(end_ms);
         Some(end_ms)
     }
 
-    /// From when on nothing that this owner ordered can run there, without a
-    /// further answer: the end of the longest lease that was ever sent, on a
-    /// clock that is as slow as the platform allows.
+    /// Returns the time from which nothing that this owner ordered can run on it, even
+    /// without another answer: the end of the latest lease ever sent to it, on a clock
+    /// that is as slow as `CLOCK_DRIFT_PERMILLE` allows. `None` if its clock was never
+    /// read.
     pub fn leases_expired_ms(&self) -> Option<u64> {
         let (clock_ms, read_ms) = self.clock?;
         let left_ms = self.lease_end_ms.saturating_sub(clock_ms);
         Some(read_ms + left_ms + left_ms * CLOCK_DRIFT_PERMILLE / 1_000 + LEASE_MARGIN_MS)
     }
 
-    /// Takes in a run.
+    /// Adds a run, or replaces the one of the same name, and counts its resources.
     pub fn add_run(&mut self, name: RunName, run: Run) {
         self.used = self.used.plus(&run.resources);
         if let Some(before) = self.runs.insert(name, run) {
@@ -430,14 +439,14 @@
         }
     }
 
-    /// Lets a run go with its room.
+    /// Removes a run and frees its resources.
     pub fn remove_run(&mut self, name: &RunName) -> Option<Run> {
         let run = self.runs.remove(name)?;
         self.used = self.used.minus(&run.resources);
         Some(run)
     }
 
-    /// The room left once everything that is stopping has ended.
+    /// Returns the free capacity once every stopping or ending run has ended.
     pub fn free_soon(&self) -> Resources {
         let leaving = self
             .runs
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -1,10 +1,10 @@
-//! Workers whose entries cannot be used, or not be trusted.
+//! Handles workers' entries, including entries that are invalid or cannot be trusted.
 //!
-//! Others may write where workers register themselves. A worker that is known
-//! and whose entry stops naming a worker to use gets no new work from that moment;
-//! what runs there stays with it, its lease is renewed and its ends are heard, as
-//! long as it answers. Limits: nothing is concluded from such an entry, neither
-//! that the worker is gone nor that it is another.
+//! Others than the workers can write to the place where workers register. A known worker
+//! whose entry becomes invalid gets no new work from that moment. Its runs stay with it,
+//! its lease is renewed and its ends are received as long as it answers. Nothing is
+//! concluded from an invalid entry, neither that the worker is gone nor that it has been
+//! replaced.
 
 use super::action::Decision;
 use super::state::Scheduler;
@@ -16,44 +16,45 @@
 };
 use crate::core::WorkerKey;
 
-/// Why a worker whose entry names another address than the one at which it was
-/// known gets no work.
+/// Reason for giving no work to a worker whose entry names a different address from the
+/// known one.
 const OTHER_ADDRESS: &str = "other_address";
 
-/// Why a worker whose entry was written by another incarnation gets no work.
+/// Reason for giving no work to a worker whose entry was written by another incarnation.
 const OTHER_INCARNATION: &str = "other_incarnation";
 
-/// An address that an entry names beside the one at which its worker was known.
+/// The two addresses of a worker whose entry names a different address from the known
+/// one.
 #[derive(Clone, Debug)]
 pub struct AddressConflict {
-    /// What the entry says.
+    /// The address in the entry.
     entry: String,
-    /// The one of the two that is not called now.
+    /// The one of the two addresses that is not called now.
     other: String,
 }
 
 impl Scheduler {
-    /// Whether the workers' entries were read lately enough to know what room there is.
-    /// An owner that does not hear from the store goes on giving starts for a while;
-    /// a worker that starts whatever it is told to and whose room has shrunk meanwhile
-    /// would be brought over it.
+    /// Whether the workers' entries were read recently enough to know the workers'
+    /// capacities. An owner that gets no answer from the store continues to send starts
+    /// for a while. A worker that accepts every start and whose capacity has shrunk
+    /// meanwhile would be overfilled.
     pub(super) fn knows_entries(&self) -> bool {
         let bound_ms = self.tuning.entries_max_age_ms;
         self.entries_freshness.is_fresh(self.now_ms, bound_ms)
     }
 
-    /// All entries that were there at `sent_ms` are told.
+    /// Records that all entries present at `sent_ms` have been handled.
     pub(super) fn handle_entries_read(&mut self, sent_ms: u64) {
         let bound_ms = self.tuning.entries_max_age_ms;
         self.changed |= self.entries_freshness.note(sent_ms, self.now_ms, bound_ms);
     }
 
-    /// Whether a start may not go to a worker, since its room is not known.
+    /// Whether a worker may get no starts because its capacity is not known.
     pub(super) fn is_room_unknown(&self, key: WorkerKey) -> bool {
         !self.knows_entries() && self.is_unguarded(key)
     }
 
-    /// Tells once that some workers get nothing, since their room is not known.
+    /// Logs once that some workers get no starts because their capacity is not known.
     pub(super) fn note_entries_unread(&mut self) {
         if self.configuration.unguarded_services.is_empty() {
             return;
@@ -64,30 +65,30 @@
         }
     }
 
-    /// The entry of a worker names no worker to use; one of a worker that is not
-    /// known names nothing.
+    /// Handles an invalid entry of a known worker. Such an entry under an unknown name is
+    /// ignored.
     pub(super) fn handle_entry_unusable(&mut self, name: &str, reason: &'static str) {
         let Some(&key) = self.worker_index.get(name) else {
             return;
         };
-        // Its entry is there, so it has not left.
+        // The entry is present, so the worker has not left.
         self.worker_mut(key).listed = true;
-        self.note_problem(key, Some(reason));
+        self.set_entry_problem(key, Some(reason));
     }
 
-    /// Takes in a readable entry of a worker that is known.
-    pub(super) fn take_entry(&mut self, key: WorkerKey, mut info: WorkerInfo) {
+    /// Applies a valid entry to a known worker.
+    pub(super) fn apply_entry(&mut self, key: WorkerKey, mut info: WorkerInfo) {
         let worker = self.worker(key);
-        // Nothing of it can run at the address that was known: it was not called
-        // yet, or is over.
-        let untried =
+        // None of its runs can be at the known address if the worker was never called or
+        // its incarnation has ended. Then the new address replaces the known one.
+        let never_called =
             worker.contact == Contact::Unfenced && worker.clock.is_none() && !worker.on_roster;
-        let untried =
-            worker.contact == Contact::Gone || (untried && worker.address_conflict.is_none());
+        let has_no_runs =
+            worker.contact == Contact::Gone || (never_called && worker.address_conflict.is_none());
         let known = worker.info.address.clone();
-        if info.address != known && untried {
-            self.forget_address(key);
-            self.note_address(&info.address, key);
+        if info.address != known && has_no_runs {
+            self.unindex_address(key);
+            self.index_address(&info.address, key);
             self.worker_mut(key).address_conflict = None;
         } else if info.address != known {
             let entry = std::mem::replace(&mut info.address, known);
@@ -101,17 +102,18 @@
         self.review_entry(key);
     }
 
-    /// A worker with two addresses answered at one of them.
-    pub(super) fn answered_at_address(&mut self, key: WorkerKey) {
-        // An entry that names no worker names no address either.
+    /// Reviews the entry of a worker that answered, since an address conflict or a
+    /// different incarnation in the entry may be settled by the answer.
+    pub(super) fn review_entry_after_answer(&mut self, key: WorkerKey) {
+        // An entry that is invalid for any other reason names no address to compare.
         let problem = self.worker(key).entry_problem;
         if problem.is_none_or(|problem| [OTHER_ADDRESS, OTHER_INCARNATION].contains(&problem)) {
             self.review_entry(key);
         }
     }
 
-    /// Judges an entry that reads. A dispute is over once the worker answers where its
-    /// entry says.
+    /// Updates the problem of a valid entry. An address conflict is settled once the worker
+    /// answers at the address in its entry.
     fn review_entry(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
         let settled = worker
@@ -124,27 +126,30 @@
         if settled {
             worker.address_conflict = None;
         }
-        let other_incarnation = worker.is_entry_of_another().then_some(OTHER_INCARNATION);
+        let other_incarnation = worker
+            .has_entry_of_other_incarnation()
+            .then_some(OTHER_INCARNATION);
         let other_address = worker.address_conflict.is_some().then_some(OTHER_ADDRESS);
-        self.note_problem(key, other_address.or(other_incarnation));
+        self.set_entry_problem(key, other_address.or(other_incarnation));
     }
 
-    /// Calls a worker that did not answer at its other address the next time.
+    /// Switches a worker with an address conflict that did not answer to its other address
+    /// for the next call.
     pub(super) fn try_other_address(&mut self, key: WorkerKey) {
         let Some(mut address_conflict) = self.worker(key).address_conflict.clone() else {
             return;
         };
-        self.forget_address(key);
-        self.note_address(&address_conflict.other, key);
+        self.unindex_address(key);
+        self.index_address(&address_conflict.other, key);
         let worker = self.worker_mut(key);
-        address_conflict.other = worker.call_at(&address_conflict.other);
+        address_conflict.other = worker.switch_address(&address_conflict.other);
         worker.address_conflict = Some(address_conflict);
     }
 
-    /// What an answer tells of a worker. That another life answers at an address
-    /// ends a life only if that was its address: an entry that was overwritten
-    /// with the address of another worker would have its runs started elsewhere
-    /// while they go on.
+    /// Returns the outcome of a call, but `NoAnswer` instead of `OtherIncarnation` for a
+    /// worker with an address conflict. Its entry may have been overwritten with the address
+    /// of another worker, so the answer of that worker does not end this one's incarnation;
+    /// otherwise its runs would be started elsewhere while they continue.
     pub(super) fn judged(&self, key: WorkerKey, outcome: CallOutcome) -> CallOutcome {
         match outcome {
             CallOutcome::OtherIncarnation if self.worker(key).address_conflict.is_some() => {
@@ -154,7 +159,8 @@
         }
     }
 
-    fn note_problem(&mut self, key: WorkerKey, problem: Option<&'static str>) {
+    /// Records why a worker's entry cannot be used, and logs a change.
+    fn set_entry_problem(&mut self, key: WorkerKey, problem: Option<&'static str>) {
         let worker = self.worker_mut(key);
         let before = std::mem::replace(&mut worker.entry_problem, problem);
         if before == problem {
@@ -174,9 +180,8 @@
 }
 
 impl Worker {
-    /// Has the worker called at another address from now on; returns the one
-    /// before.
-    fn call_at(&mut self, address: &str) -> String {
+    /// Sets the address at which the worker is called, and returns the previous one.
+    fn switch_address(&mut self, address: &str) -> String {
         self.set_address(address);
         std::mem::replace(&mut self.info.address, address.to_owned())
     }
--- a/src/scheduler/worker_health.rs
+++ b/src/scheduler/worker_health.rs
@@ -1,11 +1,12 @@
-//! Judging workers by what their runs show.
+//! Quarantines workers on which runs fail or hang.
 //!
-//! Load pattern: a tenth of the workers fail, or stall, all that they are given
-//! for some seconds while they look healthy. A worker that fails at once looks
-//! empty and draws the next tasks, each of which loses one of its few
-//! attempts. Limits: two different jobs have to fail in a row, so that one
-//! hopeless job does not close a worker; the first quarantine is short, so
-//! that a wrong judgement costs little, and doubles while it proves right.
+//! A tenth of the workers may fail or stall all their runs for some seconds while they
+//! answer normally. A worker on which runs fail at once looks empty and attracts the next
+//! tasks, each of which loses one of its few attempts.
+//!
+//! A worker is quarantined for failures only after two different jobs failed on it in a
+//! row, so one faulty job does not quarantine a worker. The first quarantine is short, so
+//! that a wrong one costs little; its length doubles while runs continue to fail.
 
 use super::action::{
     Decision,
@@ -26,83 +27,85 @@
 use crate::core::WorkerKey;
 use std::collections::HashSet;
 
-/// Different jobs that fail in a row on a worker before it is closed.
-const FAILED_JOBS: usize = 2;
-/// Failures longer ago than this say nothing.
+/// Number of different jobs that fail in a row on a worker before it is quarantined.
+const QUARANTINE_AFTER_FAILED_JOBS: usize = 2;
+/// Time after which a failure no longer counts.
 const FAILURE_MEMORY_MS: u64 = 6_000;
-/// First length of a quarantine: half of the shortest fault seen in days.
+/// Length of the first quarantine: half of the shortest fault seen in days of operation.
 const FIRST_QUARANTINE_MS: u64 = 2_000;
-/// Longest quarantine.
+/// Length of the longest quarantine.
 const MAX_QUARANTINE_MS: u64 = 8_000;
-/// A run whose progress stands still for this long hangs. Progress is told in
-/// hundredths at each look, so a run of 30 s moves every 300 ms, or every
-/// 2,400 ms on a worker that is eight times as slow.
+/// Time without progress after which a run counts as hanging. Each poll reports progress
+/// in percent, so a run of 30 s advances every 300 ms, or every 2,400 ms on a worker that
+/// is eight times as slow.
 const STALL_MS: u64 = 2_600;
-/// A run this far waits for its end, or for the end of its gang.
+/// Progress from which a run is not checked for hanging: it may be waiting for its end
+/// or for the end of its gang.
 const NEARLY_DONE_PERCENT: u32 = 98;
-/// A member of a gang that stands still is behind the others by this much; they
-/// go on, or stand at their end.
+/// How far a member of a gang without progress has to be behind the foremost member to
+/// count as hanging. The other members continue or wait at their ends.
 const BEHIND_PERCENT: u32 = 10;
 
-/// A task does not go back to the worker where it failed for this long, if
-/// nothing else is free: one that fails at once took eight attempts of a task in
-/// a quarter of a second. Less than half of the 3 s for which work may wait
+/// Time for which a task does not return to the worker where it failed, even if no other
+/// worker is free. Without it, a worker that failed runs at once used up eight attempts of
+/// a task in a quarter of a second. Less than half of the 3 s for which work may wait
 /// beside idle workers.
-const BARRED_MS: u64 = 1_200;
-/// For this long the last attempt goes only where nothing failed lately.
+const AVOID_AFTER_FAILURE_MS: u64 = 1_200;
+/// Time for which the last attempt of a task goes only to workers without recent failures.
 const LAST_ATTEMPT_MS: u64 = 2_400;
 
-/// Where the tasks of a group may not go after what happened to them.
-pub(super) struct Caution {
-    barred: Vec<WorkerKey>,
+/// The workers that the tasks of a group avoid after failures.
+pub(super) struct FailureAvoidance {
+    avoided: Vec<WorkerKey>,
     last_attempt: bool,
 }
 
-impl Caution {
-    /// What follows from the failures of the waiting tasks.
+impl FailureAvoidance {
+    /// Returns what the waiting tasks of a group avoid because of their failures.
     fn of(group: &Group, max_attempts: u32, now_ms: u64) -> Self {
         let waiting = || {
             let tasks = group.tasks.iter();
             tasks.filter(|task| task.state == TaskState::Waiting)
         };
-        let barred = waiting().filter(|task| now_ms < task.avoided_ms + BARRED_MS);
-        let last = |task: &Task| {
+        let avoided = waiting().filter(|task| now_ms < task.avoided_ms + AVOID_AFTER_FAILURE_MS);
+        let is_last_attempt = |task: &Task| {
             let failures = task.failed_runs.len() as u32;
             failures > 0
                 && failures + 1 >= max_attempts
                 && now_ms < task.avoided_ms + LAST_ATTEMPT_MS
         };
         Self {
-            barred: barred.filter_map(|task| task.avoid).collect(),
-            last_attempt: waiting().any(last),
+            avoided: avoided.filter_map(|task| task.avoid).collect(),
+            last_attempt: waiting().any(is_last_attempt),
         }
     }
 
-    /// Whether the tasks may go to a worker.
+    /// Whether the tasks may be placed on a worker.
     pub(super) fn allows(&self, worker: &Worker, now_ms: u64) -> bool {
-        let failed_lately = || {
+        let failed_recently = || {
             let mut failures = worker.failures.iter();
             failures.any(|(at_ms, _)| now_ms < at_ms + FAILURE_MEMORY_MS)
         };
-        let barred = self.barred.contains(&worker.key);
-        let doubted = self.last_attempt && failed_lately();
-        !barred && !doubted
+        let avoided = self.avoided.contains(&worker.key);
+        let is_doubted = self.last_attempt && failed_recently();
+        !avoided && !is_doubted
     }
 
-    fn is_needless(&self) -> bool {
-        self.barred.is_empty() && !self.last_attempt
+    fn avoids_nothing(&self) -> bool {
+        self.avoided.is_empty() && !self.last_attempt
     }
 }
 
 impl Scheduler {
-    /// Where the waiting tasks of a group may not go for a while. Waiting helps
-    /// only if the other workers could hold them.
-    pub(super) fn caution(&self, group: &Group, service: &str) -> Option<Caution> {
+    /// Returns the workers that the waiting tasks of a group avoid for a while. `None` if
+    /// there are none, or if the other workers could not hold the tasks even when empty, so
+    /// that waiting would not help.
+    pub(super) fn caution(&self, group: &Group, service: &str) -> Option<FailureAvoidance> {
         let now_ms = self.now_ms;
         let terms = self.jobs[&group.key.job].terms();
         let max_attempts = terms.map_or(u32::MAX, |terms| terms.max_attempts);
-        let caution = Caution::of(group, max_attempts, now_ms);
-        if caution.is_needless() {
+        let avoidance = FailureAvoidance::of(group, max_attempts, now_ms);
+        if avoidance.avoids_nothing() {
             return None;
         }
         let others = self.workers.iter().filter(|worker| {
@@ -111,14 +114,14 @@
                 && !worker.emptied
                 && !worker.info.draining
                 && worker.info.service == service
-                && caution.allows(worker, now_ms)
+                && avoidance.allows(worker, now_ms)
         });
-        let room = others.map(|worker| worker.info.capacity.times(&group.resources));
-        let room = room.fold(0u32, u32::saturating_add);
-        (room >= group.waiting).then_some(caution)
+        let capacity_elsewhere = others.map(|worker| worker.info.capacity.times(&group.resources));
+        let capacity_elsewhere = capacity_elsewhere.fold(0u32, u32::saturating_add);
+        (capacity_elsewhere >= group.waiting).then_some(avoidance)
     }
 
-    /// A run failed on a worker.
+    /// Records that a run failed on a worker, and quarantines the worker if needed.
     pub(super) fn note_failure(&mut self, key: WorkerKey, name: RunName) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
@@ -127,11 +130,12 @@
             .failures
             .retain(|(at_ms, _)| now_ms - at_ms < FAILURE_MEMORY_MS);
         let jobs: HashSet<_> = worker.failures.iter().map(|(_, job)| job).collect();
-        if jobs.len() >= FAILED_JOBS {
+        if jobs.len() >= QUARANTINE_AFTER_FAILED_JOBS {
             self.quarantine(key, "failures");
         }
     }
 
+    /// Quarantines a worker, unless it is quarantined already.
     fn quarantine(&mut self, key: WorkerKey, reason: &'static str) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
@@ -152,14 +156,14 @@
         self.decided(decision);
     }
 
-    /// A run was done: the worker does its work.
+    /// Records that a run was done on a worker, which clears its failures.
     pub(super) fn note_success(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
         worker.failures.clear();
         worker.quarantine_ms = 0;
     }
 
-    /// Stops runs that stand still, and closes their workers for a while.
+    /// Stops runs that make no progress, and quarantines their workers.
     pub(super) fn review_evidence(&mut self) {
         let now_ms = self.now_ms;
         let mut stalled = Vec::new();
@@ -168,7 +172,7 @@
                 continue;
             }
             for (&name, run) in &worker.runs {
-                if self.hangs(worker.heard_ms, name, run) {
+                if self.is_hanging(worker.heard_ms, name, run) {
                     stalled.push((worker.key, name));
                 }
             }
@@ -184,16 +188,16 @@
         }
     }
 
-    /// Whether a run stands still through its worker's fault. What fills may
-    /// get no processor for a while, and a member of a gang waits at its start
-    /// and its end for the others: only one that is behind them hangs.
-    fn hangs(&self, heard_ms: u64, name: RunName, run: &Run) -> bool {
-        let excused = run.phase != RunPhase::Running
+    /// Whether a run makes no progress because of its worker. A run on spare cores may get
+    /// no processor time for a while. A member of a gang waits for the others at its start
+    /// and at its end, so it hangs only if it is behind them.
+    fn is_hanging(&self, heard_ms: u64, name: RunName, run: &Run) -> bool {
+        let is_exempt = run.phase != RunPhase::Running
             || run.long_running
             || run.fills
             || run.percent >= NEARLY_DONE_PERCENT;
-        let still_ms = heard_ms.saturating_sub(run.advanced_ms);
-        if excused || still_ms < STALL_MS {
+        let without_progress_ms = heard_ms.saturating_sub(run.advanced_ms);
+        if is_exempt || without_progress_ms < STALL_MS {
             return false;
         }
         let Some(group) = self.groups.get(&GroupKey::of(name.task)) else {
@@ -203,7 +207,7 @@
             return true;
         }
         let members = (0u32..).zip(&group.tasks);
-        let foremost = members.filter_map(|(index, task)| match task.state {
+        let member_percents = members.filter_map(|(index, task)| match task.state {
             TaskState::Placed { worker, run } => {
                 let task = group.key.task(index);
                 let run = self.worker(worker).runs.get(&RunName { task, run })?;
@@ -211,6 +215,6 @@
             }
             _ => None,
         });
-        foremost.max().unwrap_or(0) >= run.percent + BEHIND_PERCENT
+        member_percents.max().unwrap_or(0) >= run.percent + BEHIND_PERCENT
     }
 }
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -1,23 +1,25 @@
-//! Workers that restart under the name that they had.
+//! Handles workers that restart under the same name.
 //!
-//! Load pattern: a share of the workers crashes at once, and each is back after a second
-//! or two, at its address and under its name. The new incarnation has nothing of the one
-//! before: it counts its ends and its clock anew, and has seen no fence. Taken for the one
-//! before, it would forget ends that nobody has read.
+//! Many workers may crash at once and return after a second or two, at the same address
+//! and under the same name. The new incarnation has none of the earlier one's state: its
+//! ends and its clock start anew, and it knows no epoch. If it were taken as the earlier
+//! incarnation, it would be told to drop ends that no owner has received.
 //!
-//! - Only an answer tells that a worker restarted. One poll is under way at a time, so the
-//!   answer to it is never older than the one before.
-//! - The new incarnation takes the worker's place under another key, so answers to calls
-//!   that were meant for the one before are known as such.
-//! - What had run there is lost, except where an order may reach the new incarnation: a
-//!   start without an answer may be carried out seconds later, by whoever has the name
-//!   then. Such a run is stopped there, and holds its task until a poll shows it gone.
-//! - Work goes there only by its own entry, since it may be of another kind.
+//! - Only an answer to a poll shows that a worker restarted. One poll is in flight at a
+//!   time, so its answer is never older than the previous one.
+//! - The new incarnation gets a new key, so answers to calls that were sent to the earlier
+//!   incarnation are recognized.
+//! - The runs of the earlier incarnation are lost, except where an order may reach the new
+//!   one: a start without an answer may be carried out seconds later, by the incarnation
+//!   that has the name then. Such a run is stopped on the new incarnation, and its task
+//!   waits until a poll shows that the run is gone.
+//! - The new incarnation gets work only once it has registered itself, since its capacity
+//!   may differ.
 //!
-//! Limits: a poll that is carried out by the next incarnation, late, may have it forget
-//! ends that nobody has read, or hold its runs for longer than this owner reckons; so may
-//! a late order of an earlier owner, before this one has polled. No call tells the two
-//! incarnations apart.
+//! A poll that reaches the next incarnation late may make it drop ends that no owner has
+//! received, or extend its leases beyond what this owner computes. So may a late order of
+//! an earlier owner that arrives before this owner's first poll. No call distinguishes the
+//! two incarnations, so this cannot be prevented here.
 
 use super::action::Decision;
 use super::crashes::LossCause;
@@ -40,7 +42,7 @@
     HashSet, //
 };
 
-/// A start without an answer is not carried out later than this.
+/// Longest time after which a start without an answer may still be carried out.
 const LATE_START_MS: u64 = 15_000;
 
 /// A start without an answer.
@@ -50,12 +52,12 @@
     pub name: RunName,
     /// The resources that it takes.
     pub resources: Resources,
-    /// It may be carried out until then.
+    /// Until when it may be carried out.
     pub until_ms: u64,
 }
 
 impl Worker {
-    /// Notes that a start had no answer.
+    /// Records that a start had no answer.
     pub(super) fn note_late_start(&mut self, name: RunName, resources: Resources, now_ms: u64) {
         let until_ms = now_ms + LATE_START_MS;
         self.late_starts
@@ -73,15 +75,15 @@
         late.any(|late| late.name == *name && now_ms < late.until_ms)
     }
 
-    /// Runs that may be on the next incarnation, which answered a poll that was sent at
-    /// `sent_ms` and listed `listed`.
-    fn runs_of_next(
+    /// Returns the runs that may be on the next incarnation, which listed `listed` in its
+    /// answer to a poll sent at `sent_ms`.
+    fn runs_on_next_incarnation(
         &self,
         listed: &HashSet<RunName>,
         sent_ms: u64,
         now_ms: u64,
     ) -> BTreeMap<RunName, Run> {
-        let may_be_there = |name: &RunName, run: &Run| {
+        let may_be_present = |name: &RunName, run: &Run| {
             let unanswered = run.phase != RunPhase::Unseen && !run.confirmed;
             let answered_later = run.conclusive_ms.is_some_and(|at_ms| sent_ms < at_ms);
             listed.contains(name)
@@ -90,16 +92,16 @@
                 || self.may_start_late(name, now_ms)
         };
         let runs = self.runs.iter();
-        runs.filter(|(name, run)| may_be_there(name, run))
+        runs.filter(|(name, run)| may_be_present(name, run))
             .map(|(&name, run)| (name, run.clone()))
             .collect()
     }
 }
 
 impl Scheduler {
-    /// The key under which a poll's answer is taken in: another one if the answer is that
-    /// of another incarnation than the one that is known.
-    pub(super) fn answering(
+    /// Returns the key of the incarnation that answered a poll: a new key if it is not the
+    /// known incarnation.
+    pub(super) fn resolve_incarnation(
         &mut self,
         key: WorkerKey,
         sent_ms: u64,
@@ -114,12 +116,12 @@
             .get_or_insert(incarnation_start_ms);
         match known_ms == incarnation_start_ms {
             true => key,
-            false => self.restarted(key, sent_ms, incarnation_start_ms, report),
+            false => self.handle_restart(key, sent_ms, incarnation_start_ms, report),
         }
     }
 
-    /// Puts the incarnation that answered in the place of the one that is over.
-    fn restarted(
+    /// Replaces a worker's incarnation by the one that answered, and returns its key.
+    fn handle_restart(
         &mut self,
         old: WorkerKey,
         sent_ms: u64,
@@ -139,42 +141,44 @@
             last_seen: before.last_seen,
             runs: before.runs.len(),
         };
-        let moved = before.runs_of_next(&listed, sent_ms, now_ms);
+        let moved = before.runs_on_next_incarnation(&listed, sent_ms, now_ms);
         self.decided(decision);
 
-        let key = self.take_place(old, incarnation_start_ms);
-        // A lease from before, on the new clock, may be as long as workers give any.
+        let key = self.add_next_incarnation(old, incarnation_start_ms);
+        // A lease that an earlier poll gave may hold on the new clock, for as long as workers
+        // accept at most.
         self.worker_mut(key).lease_end_ms = report.clock_ms + self.tuning.max_lease_ms;
-        let lost_there = |(name, run): (&RunName, &Run)| {
-            // Answered after the poll was sent, it may be the next incarnation's.
+        let as_lost_run = |(name, run): (&RunName, &Run)| {
+            // A start that was answered after the poll was sent may have reached the next
+            // incarnation.
             let just_answered = run.phase == RunPhase::Running
                 && run.conclusive_ms.is_some_and(|at_ms| sent_ms < at_ms);
             let lost = run.may_be_running() && !just_answered && !listed.contains(name);
             lost.then(|| ConfirmedRun {
                 name: *name,
-                at_start: run.is_unproven(),
+                at_start: run.is_start_unproven(),
                 expected_end_ms: self.expected_end_by_progress_ms(old, run),
             })
         };
-        let lost: Vec<ConfirmedRun> = moved.iter().filter_map(lost_there).collect();
+        let lost: Vec<ConfirmedRun> = moved.iter().filter_map(as_lost_run).collect();
         self.worker_mut(old).lost.extend(lost);
         for (name, run) in moved {
             self.move_run(old, key, name, run, listed.contains(&name));
         }
-        self.fence_late_starts(key);
+        self.stop_late_starts(key);
         let exit_ms = self.latest_exit_ms(old, Some(incarnation_start_ms));
         self.worker_exited(old, LossCause::Restarted, exit_ms);
         key
     }
 
-    /// A worker with the name, the entry, the place on the roster and the late starts of
-    /// another, and with nothing else of it.
-    fn take_place(&mut self, old: WorkerKey, incarnation_start_ms: u64) -> WorkerKey {
+    /// Adds the next incarnation of a worker, which takes over the name, the entry, the
+    /// place on the roster and the late starts, and nothing else.
+    fn add_next_incarnation(&mut self, old: WorkerKey, incarnation_start_ms: u64) -> WorkerKey {
         let info = self.worker(old).info.clone();
         let key = self.add_worker(info);
         let before = self.worker_mut(old);
         let (on_roster, close_state) = (before.on_roster, before.close_state);
-        // Both are the new one's: nothing is to be stored of the one before.
+        // Both move to the new incarnation: nothing remains to be stored for the old one.
         before.on_roster = false;
         before.close_state = CloseState::Open;
         let (listed, problem) = (before.listed, before.entry_problem);
@@ -192,7 +196,7 @@
         key
     }
 
-    /// Takes a run along that the next incarnation has, or may yet start.
+    /// Moves a run that the next incarnation has, or may yet start, to its key.
     fn move_run(
         &mut self,
         old: WorkerKey,
@@ -218,19 +222,19 @@
         let Some(group) = self.groups.get_mut(&GroupKey::of(name.task)) else {
             return;
         };
-        let there = |worker| TaskState::Placed {
+        let placed_on = |worker| TaskState::Placed {
             worker,
             run: name.run,
         };
         let task = group.tasks.get(name.task.index as usize);
-        if task.is_some_and(|task| task.state == there(old)) {
-            group.set_state(name.task.index, there(key));
+        if task.is_some_and(|task| task.state == placed_on(old)) {
+            group.set_state(name.task.index, placed_on(key));
         }
     }
 
-    /// Starts that were given up may be carried out by the next incarnation, which knows
-    /// nothing of the stops that the one before had.
-    fn fence_late_starts(&mut self, key: WorkerKey) {
+    /// Orders stops for starts that were given up and may still be carried out by the next
+    /// incarnation, which does not know of stops sent to the earlier one.
+    fn stop_late_starts(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
         worker.late_starts.retain(|late| now_ms < late.until_ms);
