--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -40,7 +40,8 @@
 const STORE_ANSWER_MAX_AGE_MS: u64 = 1_200;
 
 impl Scheduler {
-    /// Starts to close a worker that is unreachable or draining, or to open it again.
+    /// Starts closing an open worker that is unreachable or draining, or reopening a closed
+    /// one that answers again.
     pub(super) fn review_closing(&mut self, key: WorkerKey) {
         let store_is_answering = self.now_ms < self.confirmed_ms + STORE_ANSWER_MAX_AGE_MS;
         let worker = self.worker_mut(key);
--- a/src/scheduler/worker_health.rs
+++ b/src/scheduler/worker_health.rs
@@ -31,7 +31,8 @@
 const QUARANTINE_AFTER_FAILED_JOBS: usize = 2;
 /// Time after which a failure no longer counts.
 const FAILURE_MEMORY_MS: u64 = 6_000;
-/// Length of the first quarantine: half of the shortest fault seen in days of operation.
+/// Length of the first quarantine: half of the shortest fault observed over
+/// several days.
 const FIRST_QUARANTINE_MS: u64 = 2_000;
 /// Length of the longest quarantine.
 const MAX_QUARANTINE_MS: u64 = 8_000;
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows again while they run.
+//! Tests of workers whose capacity shrinks and grows again.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -23,12 +23,12 @@
 };
 use std::sync::Arc;
 
-/// A room that has shrunk counts after this: the time in which a VM is in touch and
-/// one heartbeat of a worker.
-const SHRUNK_COUNTS_MS: u64 = 4_500;
+/// Time after which a smaller capacity takes effect: the platform's contact timeout of a VM
+/// and one heartbeat interval of a worker.
+const SHRINK_EFFECTIVE_MS: u64 = 4_500;
 
-/// What a worker says once so many accelerators are left to it.
-fn shrunk(name: &str, accelerators: u32) -> Input {
+/// Returns a worker's registration with this number of accelerators.
+fn with_accelerators(name: &str, accelerators: u32) -> Input {
     let usual = worker_info(name, "r1");
     Input::WorkerRegistered(WorkerInfo {
         capacity: Resources {
@@ -39,8 +39,8 @@
     })
 }
 
-/// One worker full of four tasks of two accelerators, of a service whose workers start
-/// whatever they are told to.
+/// Returns a fleet of one worker that is full, with four tasks of two accelerators each. The
+/// workers of its service are unguarded: they accept every start.
 fn full_worker() -> Fleet {
     let tuning = Tuning {
         entries_max_age_ms: 2_860,
@@ -63,45 +63,53 @@
     fleet.advance(150);
 }
 
-/// A worker's room shrank below what ran there; each end made place for a start by the
-/// sums of the room that was left of each kind, and the worker stayed over its capacity.
+/// Guards against a worker that stays overfull. After its capacity shrank below what its runs
+/// took, each end freed capacity of some resource, and another run was started for it.
 #[test]
 fn nothing_starts_on_a_worker_that_is_over_its_capacity() {
     let mut fleet = full_worker();
-    fleet.tell(shrunk("w0", 4));
+    fleet.tell(with_accelerators("w0", 4));
     fleet.submit(2, record("plain", vec![step(1, 2)]));
     fleet.submit(3, record("plain", vec![step(1, 0)]));
     fleet.advance(100);
     end_one(&mut fleet);
-    assert_eq!(fleet.starts.len(), 4, "six of four are in use");
+    assert_eq!(
+        fleet.starts.len(),
+        4,
+        "a start was sent while six of four accelerators were in use"
+    );
 
     end_one(&mut fleet);
     let started: Vec<JobId> = fleet.starts[4..].iter().map(|s| s.0.task.job).collect();
     assert_eq!(
         started,
         [JobId(3)],
-        "four of four: what needs none may start"
+        "with four of four in use only a task without accelerators may start"
     );
 
-    fleet.tell(shrunk("w0", 8));
+    fleet.tell(with_accelerators("w0", 8));
     fleet.advance(50);
-    assert_eq!(fleet.starts.len(), 6, "it has grown again");
+    assert_eq!(
+        fleet.starts.len(),
+        6,
+        "no start was sent after the capacity grew again"
+    );
 }
 
-/// Urgent work that found no room had tasks stopped on such a worker one after the
-/// other, each for room that the worker did not have any more.
+/// Guards against needless preemption. Urgent work without free capacity had one task after
+/// the other stopped on an overfull worker, although this freed no capacity.
 #[test]
-fn nobody_is_stopped_for_room_that_is_not_there() {
+fn nothing_is_stopped_on_an_overfull_worker_to_free_capacity() {
     let mut fleet = full_worker();
-    fleet.tell(shrunk("w0", 4));
+    fleet.tell(with_accelerators("w0", 4));
     fleet.submit(2, record("urgent", vec![step(1, 2)]));
     fleet.advance(100);
 
     assert!(fleet.stops.is_empty(), "{:?}", fleet.stops);
 }
 
-/// A start got no answer, and the room shrank before it was sent again: carried out
-/// then, it would bring the worker over its capacity.
+/// Guards against overfilling a worker by a start that is sent again: the start had no answer,
+/// and the capacity shrank before it was repeated.
 #[test]
 fn a_start_without_an_answer_is_not_sent_again_to_a_shrunk_worker() {
     let mut fleet = full_worker();
@@ -120,29 +128,33 @@
     fleet.advance(10);
     let sent = fleet.starts.len();
     let run = fleet.starts[4].0;
-    fleet.tell(shrunk("w0", 6));
+    fleet.tell(with_accelerators("w0", 6));
     fleet.advance(500);
 
-    assert_eq!(sent, 5, "sent once");
-    assert_eq!(fleet.starts.len(), 5, "and not again");
+    assert_eq!(sent, 5, "the start was not sent once");
+    assert_eq!(fleet.starts.len(), 5, "the start was sent again");
     // A stop without an answer is sent again.
     let stopped: Vec<RunName> = fleet.stops.iter().map(|(name, _)| *name).collect();
-    assert!(!stopped.is_empty(), "what may have arrived is stopped");
+    assert!(
+        !stopped.is_empty(),
+        "the start that may have arrived was not stopped"
+    );
     assert!(stopped.iter().all(|name| *name == run), "{stopped:?}");
 }
 
-/// The store fell silent and a worker's room shrank. Its owner went on starting tasks by
-/// the entry that it knew for as long as it gives orders without the store, which is
-/// longer than the time after which the shrunk room counts.
+/// Guards against overfilling unguarded workers during a store outage. A worker's capacity
+/// shrank during the outage, and its owner continued to start tasks by the stale entry for
+/// as long as it may send orders without the store. This is longer than the time after which
+/// the smaller capacity takes effect.
 #[test]
-fn an_owner_that_does_not_hear_of_entries_starts_nothing_unguarded() {
+fn an_owner_with_stale_entries_starts_nothing_on_unguarded_workers() {
     let mut fleet = full_worker();
     fleet.follows_entries = false;
     let silent_ms = fleet.now_ms;
     for id in 2..60 {
         fleet.submit(id, record("plain", vec![step(1, 1)]));
     }
-    while fleet.now_ms < silent_ms + SHRUNK_COUNTS_MS + 2_000 {
+    while fleet.now_ms < silent_ms + SHRINK_EFFECTIVE_MS + 2_000 {
         fleet.advance(100);
         let (worker, name) = fleet.running().remove(0);
         fleet.end_run(&worker, name, EndKind::Done);
@@ -151,15 +163,18 @@
         }
     }
     let window_ms = Tuning::default().start_window_ms;
-    let last_ms = fleet.starts.last().expect("it starts at first").2;
+    let last_ms = fleet.starts.last().expect("no start was sent").2;
     assert!(
-        last_ms + window_ms < silent_ms + SHRUNK_COUNTS_MS,
-        "{} ms after the last news",
+        last_ms + window_ms < silent_ms + SHRINK_EFFECTIVE_MS,
+        "a start was sent {} ms after the last entries were read",
         last_ms - silent_ms
     );
 
     let before = fleet.starts.len();
     fleet.follows_entries = true;
     fleet.advance(50);
-    assert!(fleet.starts.len() > before, "it hears of them again");
+    assert!(
+        fleet.starts.len() > before,
+        "no start was sent after the entries were read again"
+    );
 }
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -1,5 +1,5 @@
-//! Fleets under drawn crashes, silences and changes of owner, with tasks that crash
-//! their workers beside others.
+//! Property tests with random crashes, unreachable workers and changes of owner, in which
+//! some tasks crash their workers.
 
 use super::fleet::{
     Fleet,
@@ -8,7 +8,7 @@
     step, //
 };
 use super::{
-    MOST_STARTS,
+    MAX_STARTS,
     STEP_MS, //
 };
 use fuchsiaslip::core::JobId;
@@ -29,26 +29,26 @@
 
 const WORKERS: usize = 5;
 const RUN_MS: u64 = 1_200;
-/// Two crashes of a task may have it given up, whatever they came from.
-const LEAST_CRASHES: usize = 2;
-/// Once all is calm, everything has ended after this long.
-const CALM_MS: u64 = 120_000;
+/// Fewest crashes after which a task may be given up, whatever caused them.
+const MIN_CRASHES_TO_GIVE_UP: usize = 2;
+/// Time without faults after which every job has ended.
+const RECOVERY_MS: u64 = 120_000;
 
-/// What is drawn.
+/// A random event.
 #[derive(Clone, Debug)]
 enum Event {
     /// A caller submits a job; one of its tasks may crash its workers.
     Submit { kind: u8, crashes: bool },
     /// A worker crashes by itself.
     Crash(u8),
-    /// A worker can't be reached, or can again.
-    Silence(u8),
-    /// Progress is stored at once, or waits.
-    Hold(bool),
-    /// Another daemon owns.
+    /// A worker becomes unreachable, or reachable again.
+    ToggleReachable(u8),
+    /// From now on the store holds back progress (`true`) or stores it at once.
+    HoldProgress(bool),
+    /// Another daemon becomes the owner.
     ChangeOwner { earlier_owner_over: bool },
-    /// Time passes.
-    Pass(u16),
+    /// This many milliseconds pass.
+    Advance(u16),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -56,27 +56,29 @@
         4 => (any::<u8>(), prop::bool::weighted(0.4))
             .prop_map(|(kind, crashes)| Event::Submit { kind, crashes }),
         2 => any::<u8>().prop_map(Event::Crash),
-        1 => any::<u8>().prop_map(Event::Silence),
-        1 => any::<bool>().prop_map(Event::Hold),
+        1 => any::<u8>().prop_map(Event::ToggleReachable),
+        1 => any::<bool>().prop_map(Event::HoldProgress),
         2 => any::<bool>().prop_map(|earlier_owner_over| {
             Event::ChangeOwner { earlier_owner_over }
         }),
-        8 => (10..4_000u16).prop_map(Event::Pass),
+        8 => (10..4_000u16).prop_map(Event::Advance),
     ]
 }
 
-struct Story {
+/// A fleet under random events, with what the test observed.
+struct Scenario {
     fleet: Fleet,
     jobs: Vec<(JobId, JobRecord)>,
-    began: HashMap<RunName, u64>,
-    /// Crashes of which the store said nothing when their owner was followed.
-    unknown: HashSet<RunName>,
-    /// How jobs were shown to have ended; they are forgotten after a while.
+    /// When each run was first seen on its worker.
+    first_seen_ms: HashMap<RunName, u64>,
+    /// Runs that had crashed and of whose crashes nothing was stored when the owner changed.
+    unrecorded: HashSet<RunName>,
+    /// The final states of jobs as observed; the scheduler deletes jobs after a while.
     ended: HashMap<JobId, JobStatus>,
     epoch: u64,
 }
 
-impl Story {
+impl Scenario {
     fn begin(crash_after_ms: u64) -> Self {
         let mut fleet = Fleet::with_workers(WORKERS);
         fleet.holds_progress = true;
@@ -84,15 +86,15 @@
         Self {
             fleet,
             jobs: Vec::new(),
-            began: HashMap::new(),
-            unknown: HashSet::new(),
+            first_seen_ms: HashMap::new(),
+            unrecorded: HashSet::new(),
             ended: HashMap::new(),
             epoch: 1,
         }
     }
 
-    fn play(&mut self, events: &[Event]) {
-        let mut holds = false;
+    fn apply_events(&mut self, events: &[Event]) {
+        let mut delays_progress = false;
         for event in events {
             match *event {
                 Event::Submit { kind, crashes } => self.submit(kind, crashes),
@@ -101,10 +103,10 @@
                         self.fleet.crash(&name);
                     }
                 }
-                Event::Silence(which) => self.toggle_silence(which),
-                Event::Hold(next) => holds = next,
-                Event::ChangeOwner { earlier_owner_over } => self.follow(earlier_owner_over),
-                Event::Pass(by_ms) => self.pass(u64::from(by_ms), holds),
+                Event::ToggleReachable(which) => self.toggle_reachable(which),
+                Event::HoldProgress(next) => delays_progress = next,
+                Event::ChangeOwner { earlier_owner_over } => self.change_owner(earlier_owner_over),
+                Event::Advance(by_ms) => self.advance_checked(u64::from(by_ms), delays_progress),
             }
         }
     }
@@ -132,7 +134,7 @@
         names.into_iter().nth(at).cloned()
     }
 
-    fn toggle_silence(&mut self, which: u8) {
+    fn toggle_reachable(&mut self, which: u8) {
         let Some(name) = self.worker(which) else {
             return;
         };
@@ -143,7 +145,7 @@
         }
     }
 
-    fn follow(&mut self, earlier_owner_over: bool) {
+    fn change_owner(&mut self, earlier_owner_over: bool) {
         let lost: Vec<RunName> = self
             .fleet
             .crashed
@@ -151,38 +153,38 @@
             .filter(|(name, worker, _)| !self.is_stored(*name, worker))
             .map(|(name, ..)| *name)
             .collect();
-        self.unknown.extend(lost);
+        self.unrecorded.extend(lost);
         self.epoch += 1;
-        let forgotten = &self.fleet.forgotten;
-        let jobs = self.jobs.iter().filter(|(id, _)| !forgotten.contains(id));
+        let deleted = &self.fleet.forgotten;
+        let jobs = self.jobs.iter().filter(|(id, _)| !deleted.contains(id));
         let jobs: Vec<_> = jobs.cloned().collect();
         let mut next = self.fleet.next_owner(self.epoch, &jobs, earlier_owner_over);
         next.holds_progress = true;
         self.fleet = next;
     }
 
-    /// Whether the next owner knows of a crash by what is stored.
+    /// Whether the next owner learns of a crash from the store.
     fn is_stored(&self, name: RunName, worker: &str) -> bool {
         let closed = self.fleet.closed.get(worker).cloned().flatten();
-        let noted = closed.is_some_and(|closed| {
+        let in_closed_record = closed.is_some_and(|closed| {
             let mut confirmed = closed.confirmed.iter();
             closed.runs.contains(&name) || confirmed.any(|confirmed| confirmed.name == name)
         });
         let stored = self.fleet.stored.get(&name.task.job);
-        let counted = stored.is_some_and(|(_, record)| {
+        let in_progress_record = stored.is_some_and(|(_, record)| {
             let group = record.group(GroupKey::of(name.task));
             let mut rows = group.iter().flat_map(|group| &group.crashes);
             let own = rows.any(|row| row.index == name.task.index && row.runs.contains(&name.run));
             record.ended.is_some() || own
         });
-        noted || counted
+        in_closed_record || in_progress_record
     }
 
-    fn pass(&mut self, by_ms: u64, holds: bool) {
+    fn advance_checked(&mut self, by_ms: u64, delays_progress: bool) {
         for _ in 0..by_ms / STEP_MS {
-            self.end_what_is_over();
+            self.end_due_runs();
             self.fleet.advance(STEP_MS);
-            if !holds {
+            if !delays_progress {
                 let pending: Vec<JobId> = self.fleet.pending.keys().copied().collect();
                 pending
                     .into_iter()
@@ -192,22 +194,24 @@
         }
     }
 
-    /// Runs end when their time or their worker's lease is over; a gang as a whole.
-    fn end_what_is_over(&mut self) {
+    /// Ends runs whose time is over or whose lease has expired. Members of a gang are done
+    /// together.
+    fn end_due_runs(&mut self) {
         let now_ms = self.fleet.now_ms;
         for (worker, name) in self.fleet.running() {
-            let began_ms = *self.began.entry(name).or_insert(now_ms);
-            let lapsed = self.fleet.workers[&worker].has_lapsed(now_ms);
-            if lapsed {
+            let started_ms = *self.first_seen_ms.entry(name).or_insert(now_ms);
+            let lease_expired = self.fleet.workers[&worker].has_lapsed(now_ms);
+            if lease_expired {
                 self.fleet.end_run(&worker, name, EndKind::LeaseExpired);
-            } else if now_ms >= began_ms + RUN_MS && self.is_whole(name) {
+            } else if now_ms >= started_ms + RUN_MS && self.can_end(name) {
                 self.fleet.end_run(&worker, name, EndKind::Done);
             }
         }
     }
 
-    /// Whether a run can end by itself: none of its gang crashes its worker.
-    fn is_whole(&self, name: RunName) -> bool {
+    /// Whether a run can be done: no task of its gang crashes its worker, and the gang is
+    /// complete.
+    fn can_end(&self, name: RunName) -> bool {
         let (_, job) = &self.jobs[name.task.job.0 as usize - 1];
         let step = &job.spec.steps[0];
         let crashing = &self.fleet.crashing;
@@ -216,12 +220,13 @@
         let members = running.iter().filter(|(_, other)| {
             other.run == name.run && GroupKey::of(other.task) == GroupKey::of(name.task)
         });
-        let missing = step.gang && members.count() < step.count as usize && !self.was_done(name);
-        !crashing.contains(&name.task) && !gang_crashes && !missing
+        let has_missing_member =
+            step.gang && members.count() < step.count as usize && !self.has_done_member(name);
+        !crashing.contains(&name.task) && !gang_crashes && !has_missing_member
     }
 
-    /// Whether a member of the same run has ended done already.
-    fn was_done(&self, name: RunName) -> bool {
+    /// Whether a member of the same run is already done.
+    fn has_done_member(&self, name: RunName) -> bool {
         let workers = self.fleet.workers.values();
         let mut ended = workers.flat_map(|worker| &worker.ended);
         ended.any(|row| {
@@ -234,34 +239,42 @@
     fn check(&mut self) {
         let running = self.fleet.running();
         let tasks: HashSet<TaskId> = running.iter().map(|(_, name)| name.task).collect();
-        assert_eq!(tasks.len(), running.len(), "twice at a time: {running:?}");
+        assert_eq!(
+            tasks.len(),
+            running.len(),
+            "a task runs twice at the same time: {running:?}"
+        );
         for &task in &self.fleet.crashing {
-            let there = running.iter().filter(|(_, name)| name.task == task).count();
-            let unknown = self.unknown.iter().filter(|name| name.task == task).count();
-            let starts = self.crashes_under(task) + there;
+            let running_count = running.iter().filter(|(_, name)| name.task == task).count();
+            let unrecorded = self
+                .unrecorded
+                .iter()
+                .filter(|name| name.task == task)
+                .count();
+            let starts = self.crash_count(task) + running_count;
             assert!(
-                starts <= MOST_STARTS + unknown,
-                "{task:?} was started {starts} times, {unknown} crashes are not stored"
+                starts <= MAX_STARTS + unrecorded,
+                "{task:?} was started {starts} times, {unrecorded} crashes are not stored"
             );
         }
         for (id, _) in &self.jobs {
-            let view = self.fleet.scheduler.job_status(*id);
-            if let Some(end @ (JobStatus::Completed | JobStatus::Failed)) = view {
+            let status = self.fleet.scheduler.job_status(*id);
+            if let Some(end @ (JobStatus::Completed | JobStatus::Failed)) = status {
                 let before = self.ended.insert(*id, end);
                 assert!(
                     before.is_none_or(|before| before == end),
-                    "{id}: {before:?}, {end:?}"
+                    "{id} changed its final state from {before:?} to {end:?}"
                 );
             }
-            let failed = view == Some(JobStatus::Failed);
+            let failed = status == Some(JobStatus::Failed);
             assert!(
                 !failed || self.may_be_given_up(*id),
-                "{id} failed without a cause"
+                "{id} failed without enough crashes of a task"
             );
         }
     }
 
-    fn crashes_under(&self, task: TaskId) -> usize {
+    fn crash_count(&self, task: TaskId) -> usize {
         let crashed = self.fleet.crashed.iter();
         crashed.filter(|(name, ..)| name.task == task).count()
     }
@@ -271,13 +284,13 @@
         let mut tasks = crashed
             .map(|(name, ..)| name.task)
             .filter(|task| task.job == id);
-        tasks.any(|task| self.crashes_under(task) >= LEAST_CRASHES)
+        tasks.any(|task| self.crash_count(task) >= MIN_CRASHES_TO_GIVE_UP)
     }
 
-    /// Mends everything; each job then comes to its end.
-    fn calm_down(&mut self) {
+    /// Ends all faults, and checks that every job then reaches its final state.
+    fn recover_and_finish(&mut self) {
         self.fleet.silent.clear();
-        self.pass(CALM_MS, false);
+        self.advance_checked(RECOVERY_MS, false);
         for (id, _) in &self.jobs {
             let end = self.ended.get(id);
             let crashes = self.fleet.crashing.contains(&super::task_of(*id, 0));
@@ -302,35 +315,35 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever crashes, falls silent or changes hands, a task that crashes its workers
-    /// is given up within its allowance, as far as the store knows of the crashes; no job
-    /// fails that did not lose two workers under one task, nothing runs twice at a time,
-    /// and every job comes to its end.
+    /// With any crashes, unreachable workers and changes of owner: a task that crashes its
+    /// workers is given up within the allowed number of starts, as far as its crashes are
+    /// stored; no job fails unless one of its tasks lost two workers; no task runs twice at
+    /// the same time; and every job reaches its final state.
     #[test]
-    fn drawn_crashes_end_in_the_right_jobs(
+    fn jobs_reach_the_right_final_state_under_random_crashes(
         crash_after_ms in prop_oneof![Just(10u64), 10..1_100u64],
         events in prop::collection::vec(event(), 1..40),
     ) {
-        let mut story = Story::begin(crash_after_ms);
+        let mut scenario = Scenario::begin(crash_after_ms);
 
-        story.play(&events);
+        scenario.apply_events(&events);
 
-        story.calm_down();
+        scenario.recover_and_finish();
     }
 
-    /// The same where crashed workers come back under the names that they had.
+    /// The same properties hold if crashed workers restart under the same names.
     #[test]
-    fn drawn_crashes_of_workers_that_keep_their_names_end_in_the_right_jobs(
+    fn jobs_reach_the_right_final_state_under_random_crashes_of_workers_that_keep_their_names(
         crash_after_ms in prop_oneof![Just(10u64), 10..1_100u64],
         down_ms in prop_oneof![Just(3_100u64), 0..1_500u64],
         events in prop::collection::vec(event(), 1..40),
     ) {
-        let mut story = Story::begin(crash_after_ms);
-        story.fleet.keeps_names = true;
-        story.fleet.down_ms = down_ms;
+        let mut scenario = Scenario::begin(crash_after_ms);
+        scenario.fleet.keeps_names = true;
+        scenario.fleet.down_ms = down_ms;
 
-        story.play(&events);
+        scenario.apply_events(&events);
 
-        story.calm_down();
+        scenario.recover_and_finish();
     }
 }
--- a/tests/crashes/whole_path.rs
+++ b/tests/crashes/whole_path.rs
@@ -1,6 +1,7 @@
-//! Such tasks on the whole path: real daemons beside a stand-in of the platform.
+//! End-to-end test of tasks that crash their workers, with real daemons and a stand-in of
+//! the platform.
 
-use super::MOST_STARTS;
+use super::MAX_STARTS;
 use super::daemons::{
     epoch,
     fleet,
@@ -14,11 +15,10 @@
 use super::processes::Answer;
 use serde_json::Value;
 
-/// A caller's job crashes each worker that starts it, silently, and the owner is killed
-/// after the first crash. A job beside it was never done: seven of its tasks were lost
-/// with the first worker and started beside the crashing one each time again, on five
-/// workers in a row, since all that is lost together waits together. What was lost so
-/// starts apart now.
+/// Guards against a sound job that is never done beside a job that crashes its workers, with
+/// the owner killed after the first crash. Tasks that are lost together wait together:
+/// seven tasks of the sound job were lost with the first worker, and started beside the
+/// crashing task again on five workers in a row.
 #[test]
 fn a_job_that_crashes_its_workers_is_shown_as_failed_and_others_are_done() {
     let operator = Operator::spawn(6);
@@ -51,5 +51,5 @@
     let world = operator.world();
     let own = world.records.iter();
     let starts = own.filter(|run| run.task == "0000000000000001.0.0.0");
-    assert!(starts.count() <= MOST_STARTS, "{:#?}", world.records);
+    assert!(starts.count() <= MAX_STARTS, "{:#?}", world.records);
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Owners that follow one another, what is stored and what is forgotten.
+//! Tests of changes of owner: recovery from the store, closed workers, and deletion.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -36,28 +36,28 @@
 };
 use std::sync::Arc;
 
-/// A new owner that knows so many workers by the roster, and has asked none.
-fn new_owner_of(count: usize) -> Scheduler {
+/// Returns a new owner with `count` workers on its roster, none of which it has polled.
+fn new_owner_with_workers(count: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(2, Tuning::default(), BEGIN_MS);
     scheduler.handle(Input::Configure(Arc::new(configuration(64))), BEGIN_MS);
     for at in 0..count {
-        let known = Input::RosterWorker {
+        let roster_worker = Input::RosterWorker {
             worker_name: format!("w{at}"),
             address: format!("w{at}:1"),
             closed_runs: None,
         };
-        scheduler.handle(known, BEGIN_MS);
+        scheduler.handle(roster_worker, BEGIN_MS);
     }
-    let recovered = Input::StoredStateRead {
+    let state_read = Input::StoredStateRead {
         earlier_owner_over: true,
     };
-    scheduler.handle(recovered, BEGIN_MS);
+    scheduler.handle(state_read, BEGIN_MS);
     scheduler
 }
 
-/// A fleet whose store names a run on a worker that is out of reach, while a
-/// later run of the same task is on the other worker.
-fn started_anew_elsewhere() -> (Fleet, (JobId, JobRecord), String, RunName) {
+/// Returns a fleet whose store names a run on an unreachable worker while a later run of the
+/// same task is on the other worker; with the job, the other worker and the later run.
+fn restarted_elsewhere() -> (Fleet, (JobId, JobRecord), String, RunName) {
     let mut fleet = Fleet::with_workers(2);
     let job = (JobId(1), record("plain", vec![step(1, 8)]));
     fleet.submit(1, job.1.clone());
@@ -75,10 +75,10 @@
     (fleet, job, other.to_owned(), newer)
 }
 
-/// An end is listed and its owner dies before it is durable. The next owner
-/// finds the end still listed and counts it once.
+/// An owner dies after a worker listed an end and before the end is durable. The worker
+/// still lists the end, and the next owner counts it once.
 #[test]
-fn ends_that_were_not_durable_are_found_by_the_next_owner() {
+fn ends_that_were_not_durable_are_received_by_the_next_owner() {
     let (mut fleet, id, job) = Fleet::with_job(1, record("plain", vec![step(1, 1)]));
     fleet.end_all(id, EndKind::Failed);
 
@@ -96,12 +96,11 @@
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
-/// A job got a third attempt where two were allowed. The store was down while
-/// both attempts failed, on different workers, and the owner died; its
-/// successor heard of the second failure first, and took the first one, of a
-/// lower run, for counted already.
+/// Guards against a third attempt where two are allowed. Both attempts fail on different
+/// workers during a store outage, and the owner dies. Its successor receives the second
+/// failure first, and took the first one, which has a lower run number, as counted.
 #[test]
-fn failures_count_in_whatever_order_workers_list_them() {
+fn failures_count_in_any_order_of_the_workers_answers() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     fleet.store_answers = false;
     fleet.end_all(id, EndKind::Failed);
@@ -121,9 +120,9 @@
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Failed));
 }
 
-/// A new owner finds what runs and lets it run on.
+/// A new owner adopts the runs that it finds and lets them continue.
 #[test]
-fn a_new_owner_adopts_what_runs() {
+fn a_new_owner_adopts_running_tasks() {
     let (fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(4, 1)]));
     let before = fleet.running();
 
@@ -134,11 +133,10 @@
     assert!(next.starts.is_empty() && next.stops.is_empty());
 }
 
-/// A worker that the new owner cannot reach may still run what the earlier
-/// owner started, as long as the longest lease that it can have. Started
-/// elsewhere before that, a task would run twice.
+/// Guards against running a task twice: a worker that the new owner cannot reach may run
+/// tasks of the earlier owner until the longest lease has expired.
 #[test]
-fn tasks_that_may_run_out_of_sight_wait_for_the_longest_lease() {
+fn tasks_that_may_run_on_unreachable_workers_wait_for_the_longest_lease() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let worker = fleet.running()[0].0.clone();
     fleet.silent.push(worker);
@@ -158,20 +156,19 @@
     );
 }
 
-/// A task ran twice at a time after a change of owner. The new owner had found
-/// one member of a gang when urgent work took its room; the gang was given up,
-/// and the other member, found a moment later, was stopped as belonging to
-/// nothing. Its task counted as waiting meanwhile, and was started again while
-/// the old run was still being stopped.
+/// Guards against running a task twice after a change of owner. The new owner has found one
+/// member of a gang when urgent work preempts it, so the gang ends. The other member, found
+/// later, is stopped as a stray run; its task counted as waiting meanwhile and was started
+/// again before that run had stopped.
 #[test]
 fn a_member_found_late_is_waited_for_before_its_gang_starts_again() {
     let mut fleet = Fleet::with_workers(4);
-    let patient = record("patient", vec![gang(2, 8)]);
-    let id = fleet.submit(1, patient.clone());
+    let non_urgent = record("patient", vec![gang(2, 8)]);
+    let id = fleet.submit(1, non_urgent.clone());
     fleet.advance(20);
     let (first, second) = (fleet.running()[0].clone(), fleet.running()[1].clone());
 
-    let mut next = fleet.next_owner(2, &[(id, patient)], true);
+    let mut next = fleet.next_owner(2, &[(id, non_urgent)], true);
     next.silent = ["w0", "w1", "w2", "w3"].map(str::to_owned).to_vec();
     next.silent.retain(|name| *name != first.0);
     next.advance(150);
@@ -184,7 +181,10 @@
     next.silent.clear();
     next.advance(600);
     let old_run_is_there = next.running().contains(&second);
-    assert!(old_run_is_there, "its stop has not taken effect");
+    assert!(
+        old_run_is_there,
+        "the old run was stopped too early for this test"
+    );
     let again = next
         .starts
         .iter()
@@ -192,11 +192,11 @@
     assert!(!again, "the task was started beside its old run");
 }
 
-/// After a change of owner nothing was placed for 13 s: a worker that had left
-/// long before was still on the roster, never answered, and the new owner
-/// waited for a lease that it could not have.
+/// Guards against waiting for a worker that has left. Such a worker was still on the roster
+/// and never answered, so a new owner waited 13 s for a lease that the worker could not
+/// have, and placed nothing.
 #[test]
-fn the_roster_forgets_a_worker_that_left() {
+fn a_worker_that_left_is_removed_from_the_roster() {
     let mut fleet = Fleet::with_workers(2);
     fleet.silent.push("w1".to_owned());
     fleet.tell(Input::WorkerUnlisted("w1".to_owned()));
@@ -212,10 +212,10 @@
     assert_eq!(names, ["w0"]);
 }
 
-/// Work that came after the earlier owner's process had ended waited for leases
-/// that this owner could not have given.
+/// Guards against work that waits for leases of an earlier owner although it was submitted
+/// after that owner's process had ended.
 #[test]
-fn work_that_the_earlier_owner_cannot_have_seen_starts_at_once() {
+fn work_unknown_to_the_earlier_owner_starts_at_once() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let worker = fleet.running()[0].0.clone();
     fleet.silent.push(worker);
@@ -229,12 +229,12 @@
     assert_eq!(next.starts[0].0.task.job, JobId(2));
 }
 
-/// A task ran twice at a time. An earlier owner that still gave orders was told
-/// of a job and started it on a worker that its successor could not reach. The
-/// successor's view of the jobs was behind: it heard of the job more than a second
-/// after it had taken over, and took it for one that no earlier owner can know.
+/// Guards against running a task twice. An earlier owner that still sent orders learned of a
+/// job and started it on a worker that its successor could not reach. The successor read
+/// the job more than a second after its takeover, and assumed that no earlier owner could
+/// know it.
 #[test]
-fn a_job_that_is_told_late_may_have_been_started_by_the_earlier_owner() {
+fn a_job_that_is_read_late_may_have_been_started_by_the_earlier_owner() {
     const LATE_MS: u64 = 2_000;
     let fleet = Fleet::with_workers(2);
     let mut next = fleet.next_owner(2, &[], false);
@@ -245,22 +245,30 @@
     next.submit(1, record("plain", vec![step(1, 1)]));
     next.follows_jobs = true;
     next.advance(500);
-    assert!(next.starts.is_empty(), "it may run on w0");
+    assert!(
+        next.starts.is_empty(),
+        "a task that may run on w0 was started"
+    );
 
     next.submit(2, record("plain", vec![step(1, 1)]));
     next.advance(50);
     let started: Vec<JobId> = next.starts.iter().map(|start| start.0.task.job).collect();
-    assert_eq!(started, [JobId(2)], "stored after the jobs had been read");
+    assert_eq!(
+        started,
+        [JobId(2)],
+        "a job that was stored after the jobs had been read did not start"
+    );
 }
 
-/// A task ran twice at a time. Its occurrence came due two seconds after a takeover:
-/// the earlier owner, cut off from the store and its successor, started it on a worker
-/// that the successor could not reach, and the successor on another.
+/// Guards against running a task twice. An occurrence of its job comes due two seconds after
+/// a takeover. The earlier owner, cut off from the store and its successor, may start the
+/// task on a worker that the successor cannot reach.
 #[test]
-fn an_occurrence_that_comes_due_while_a_worker_is_unheard_may_have_been_started() {
+fn an_occurrence_that_comes_due_while_a_worker_is_unreachable_may_have_been_started() {
     const DUE_MS: u64 = 2_000;
-    /// The longest lease of an earlier owner that is not known to have ended.
-    const LEASES_OVER_MS: u64 = 13_400;
+    /// Time after a takeover until all leases of the earlier owner have expired, if that
+    /// owner's process is not known to have ended.
+    const LEASES_EXPIRED_MS: u64 = 13_400;
     let fleet = Fleet::with_workers(2);
     let mut timed = record("plain", vec![step(1, 1)]);
     timed.spec.schedule = Some(Schedule {
@@ -272,10 +280,13 @@
     next.silent.push("w0".to_owned());
 
     next.advance(DUE_MS + 1_000);
-    let while_unheard = next.starts.len();
-    next.advance(LEASES_OVER_MS - DUE_MS - 1_000);
+    let starts_while_unreachable = next.starts.len();
+    next.advance(LEASES_EXPIRED_MS - DUE_MS - 1_000);
 
-    assert_eq!(while_unheard, 0, "it may run on w0");
+    assert_eq!(
+        starts_while_unreachable, 0,
+        "a task that may run on w0 was started"
+    );
     assert_eq!(next.starts.len(), 1);
 }
 
@@ -293,10 +304,9 @@
     assert_eq!(fleet.starts.len(), 1);
 }
 
-/// A task ran twice at a time: the earlier owner had started it just before the
-/// new one looked at its worker, and the new owner heard of the job only after
-/// that. It stopped the run as belonging to nothing, and started the task
-/// elsewhere before the run was off its worker.
+/// Guards against running a task twice. The earlier owner starts the task just before the new
+/// owner polls the worker, and the new owner reads the job only after that. It stopped the run as
+/// a stray one, and started the task elsewhere before the run had left its worker.
 #[test]
 fn a_run_found_before_its_job_is_known_is_waited_for() {
     let (fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
@@ -307,7 +317,10 @@
     next.advance(200);
     next.submit(1, job);
     next.advance(300);
-    assert!(next.starts.is_empty(), "its old run is still there");
+    assert!(
+        next.starts.is_empty(),
+        "the task was started while its old run was on a worker"
+    );
 
     next.workers
         .get_mut(&found.0)
@@ -318,52 +331,64 @@
     assert_eq!(next.running()[0].1.task.job, id);
 }
 
-/// A job was done and its time of being remembered over, but a busy store had
-/// not removed it yet. Its history was dropped, so the jobs were read anew, and
-/// the job, no longer known, was taken for a new one and ran a second time.
+/// Guards against running a done job again. Its retention time had passed, but a busy store
+/// had not deleted it yet. The store's history was compacted, so all jobs were read again,
+/// and the job was handled as a new one.
 #[test]
-fn a_forgotten_job_that_is_still_stored_does_not_run_again() {
+fn a_job_that_is_being_deleted_does_not_run_again() {
     let mut fleet = Fleet::with_workers(1);
     let job = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(50);
     fleet.end_all(job, EndKind::Done);
     fleet.advance(50);
-    let is_forgotten =
+    let is_deletion =
         |action: &Action| matches!(action, Action::DeleteJob { job: own } if *own == job);
     fleet.store_answers = false;
     fleet.advance(Tuning::default().retention_ms + 200);
-    assert!(fleet.actions.iter().any(is_forgotten), "it is forgotten");
+    assert!(
+        fleet.actions.iter().any(is_deletion),
+        "the deletion of the job was not ordered"
+    );
 
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
-    assert_eq!(fleet.starts.len(), 1, "it is not started again");
+    assert_eq!(fleet.starts.len(), 1, "the job was started again");
 
     fleet.tell(Input::JobDeleted(job));
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
-    assert_eq!(fleet.starts.len(), 1, "nor by a late message");
+    assert_eq!(
+        fleet.starts.len(),
+        1,
+        "a late message started the job again"
+    );
 }
 
-/// An owner that ran for days kept each worker, job and queue that it had ever
-/// heard of; workers that went down and up by turns filled its memory, and
-/// every look through the workers took longer.
+/// Guards against unbounded memory use: an owner that ran for days kept each worker, job and
+/// queue that it had ever known. Workers that went down and came up repeatedly filled its
+/// memory, and every pass over the workers took longer.
 #[test]
-fn what_is_over_does_not_stay_in_memory() {
-    const LIVES: u64 = 120;
-    const LIFE_MS: u64 = 5_000;
+fn memory_use_stays_bounded() {
+    const INCARNATIONS: u64 = 120;
+    const INCARNATION_MS: u64 = 5_000;
     let mut fleet = Fleet::with_workers(1);
     let mut most = Sizes::default();
-    for life in 0..LIVES {
-        let name = format!("flapping{life}");
+    for incarnation in 0..INCARNATIONS {
+        let name = format!("flapping{incarnation}");
         let mut version = configuration(64);
-        version.version = life + 2;
-        version.queues.push(queue(&format!("queue{life}"), 1));
+        version.version = incarnation + 2;
+        version
+            .queues
+            .push(queue(&format!("queue{incarnation}"), 1));
         fleet.tell(Input::Configure(Arc::new(version)));
         fleet.add_worker(&name, "r1");
-        let job = fleet.submit(life, record(&format!("queue{life}"), vec![step(1, 1)]));
-        fleet.advance(LIFE_MS / 2);
+        let job = fleet.submit(
+            incarnation,
+            record(&format!("queue{incarnation}"), vec![step(1, 1)]),
+        );
+        fleet.advance(INCARNATION_MS / 2);
         fleet.end_all(job, EndKind::Done);
-        fleet.advance(LIFE_MS / 2);
+        fleet.advance(INCARNATION_MS / 2);
         fleet.workers.remove(&name);
         fleet.tell(Input::WorkerUnlisted(name));
         let sizes = fleet.scheduler.sizes();
@@ -376,18 +401,22 @@
             unreadable_jobs: most.unreadable_jobs.max(sizes.unreadable_jobs),
         };
     }
-    let kept_lives = (Tuning::default().retention_ms / LIFE_MS) as usize + 2;
-    assert!(most.jobs <= kept_lives, "{most:?}");
+    let retained_incarnations = (Tuning::default().retention_ms / INCARNATION_MS) as usize + 2;
+    assert!(most.jobs <= retained_incarnations, "{most:?}");
     assert!(most.groups <= 2, "{most:?}");
-    assert!(most.deleting_jobs <= 8, "those of half a minute: {most:?}");
-    assert!(most.queues <= kept_lives + 4, "{most:?}");
-    // A place is free again half a minute after its worker is gone.
+    assert!(
+        most.deleting_jobs <= 8,
+        "more than the deletions of half a minute: {most:?}"
+    );
+    assert!(most.queues <= retained_incarnations + 4, "{most:?}");
+    // The key of a worker is reused half a minute after the worker is gone.
     assert!(most.workers <= 12, "{most:?}");
 }
 
-/// A worker left, and seconds later all daemons were killed. The next owner
-/// could not reach that worker, and all stored work waited 7.3 s for the leases
-/// of the two tasks that might have run there.
+/// Guards against holding back all stored work because of one unreachable worker. A worker
+/// left, and seconds later all daemons were killed. The next owner could not reach the
+/// worker, and all work waited 7.3 s for the leases of two tasks that might have run
+/// there.
 #[test]
 fn a_worker_that_left_holds_up_only_its_own_tasks() {
     let mut fleet = Fleet::with_workers(2);
@@ -398,8 +427,12 @@
     fleet.tell(Input::WorkerRegistered(leaving_info(&leaving, 60_000)));
     fleet.advance(200);
     let closed = fleet.closed[&leaving].as_ref();
-    let there = closed.map(|closed| &closed.runs);
-    assert_eq!(there, Some(&vec![run]), "stored in time");
+    let stored_runs = closed.map(|closed| &closed.runs);
+    assert_eq!(
+        stored_runs,
+        Some(&vec![run]),
+        "the runs of the closed worker were not stored"
+    );
     fleet.silent.push(leaving.clone());
     fleet.advance(300);
 
@@ -407,21 +440,29 @@
     let mut next = fleet.next_owner(2, &[first, second], true);
     next.advance(200);
     let started: Vec<JobId> = next.starts.iter().map(|start| start.0.task.job).collect();
-    assert_eq!(started, [JobId(2)], "the other job starts at once");
+    assert_eq!(started, [JobId(2)], "the other job did not start at once");
 
     next.end_all(JobId(2), EndKind::Done);
     next.advance(6_500);
-    assert_eq!(next.starts.len(), 1, "a lease may still hold there");
+    assert_eq!(
+        next.starts.len(),
+        1,
+        "a task was started while its lease may be valid"
+    );
     next.advance(1_000);
-    assert_eq!(next.starts.len(), 2, "and is over now");
+    assert_eq!(
+        next.starts.len(),
+        2,
+        "the task did not start after the lease had expired"
+    );
 }
 
-/// The store still named a run on a worker that was out of reach, though its
-/// task had been started anew elsewhere when the lease was over. The next owner
-/// held the new run for a stray one and stopped it.
+/// Guards against stopping a valid run. The store still named an earlier run on an
+/// unreachable worker although its task had been started again elsewhere after the lease had
+/// expired, and the next owner stopped the new run as a stray one.
 #[test]
-fn a_run_with_a_higher_number_ends_what_is_noted_of_a_lower_one() {
-    let (fleet, job, ..) = started_anew_elsewhere();
+fn a_found_run_supersedes_stored_runs_with_lower_numbers() {
+    let (fleet, job, ..) = restarted_elsewhere();
 
     let mut next = fleet.next_owner(2, &[job], true);
     next.advance(500);
@@ -430,7 +471,7 @@
     assert!(next.starts.is_empty(), "{:?}", next.starts);
 }
 
-/// What is stored of the closed worker `w0` with these runs.
+/// Returns what is stored about the closed worker `w0` with these runs.
 fn closed_runs(fleet: &Fleet, runs: Vec<RunName>) -> ClosedRuns {
     ClosedRuns {
         incarnation_start_ms: Some(fleet.workers["w0"].incarnation_start_ms),
@@ -438,20 +479,23 @@
     }
 }
 
-/// A worker that the store says gets no starts is not looked for by the next
-/// owner: a start that went there before that was taken back could run unseen.
+/// The next owner does not wait for a worker that is stored as closed. If the worker got a
+/// start before it was stored as open, that run could be missed.
 #[test]
-fn a_closed_worker_gets_work_again_only_once_that_is_stored() {
+fn a_closed_worker_gets_work_only_after_it_is_stored_as_open() {
     let mut fleet = Fleet::with_workers(1);
     fleet.silent.push("w0".to_owned());
     fleet.advance(1_500);
     let empty = closed_runs(&fleet, Vec::new());
-    assert_eq!(fleet.closed["w0"], Some(empty), "it is closed");
+    assert_eq!(fleet.closed["w0"], Some(empty), "the worker is not closed");
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.silent.clear();
     fleet.store_answers = false;
     fleet.advance(1_000);
-    assert!(fleet.starts.is_empty(), "not while the store says so");
+    assert!(
+        fleet.starts.is_empty(),
+        "a start was sent to a worker that is stored as closed"
+    );
 
     fleet.tell(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
@@ -461,12 +505,12 @@
     assert_eq!(fleet.starts.len(), 1);
 }
 
-/// Tasks were moved off a worker that was leaving and were done elsewhere, but
-/// the store still named their first runs on it. The next owner took the listed
-/// ends for those of runs that no longer counted, and the tasks ran again.
+/// Guards against running done tasks again. The tasks were moved off a draining worker and
+/// were done elsewhere, but the store still named their first runs. The next owner ignored
+/// the listed ends as those of stale runs.
 #[test]
-fn a_done_end_counts_whatever_is_noted_of_earlier_runs() {
-    let (mut fleet, job, other, newer) = started_anew_elsewhere();
+fn a_done_end_counts_despite_stored_earlier_runs() {
+    let (mut fleet, job, other, newer) = restarted_elsewhere();
     fleet.end_run(&other, newer, EndKind::Done);
 
     let mut next = fleet.next_owner(2, &[job], true);
@@ -479,9 +523,9 @@
     );
 }
 
-/// A task ran again after it was done: its end was known to the owner and not
-/// yet stored when its worker left, so the store named the worker as closed
-/// with nothing on it, and the next owner did not wait for it.
+/// Guards against running a done task again. Its end was known to the owner and not yet
+/// durable when its worker left, so the worker was stored as closed without runs, and the
+/// next owner did not wait for it.
 #[test]
 fn a_closed_worker_names_runs_whose_ends_are_not_stored() {
     let mut fleet = Fleet::with_workers(1);
@@ -504,9 +548,9 @@
     assert_eq!(row, Some((true, closed_runs(&fleet, vec![run]))));
 }
 
-/// An owner that was paused for seconds went on with its last confirmation and
-/// started a new job on a worker that its successor had not reached yet; the
-/// successor, which held that job for its own, started it as well.
+/// Guards against starting a job twice. An owner that was paused for seconds continued with
+/// its last confirmation and started a new job on a worker that its successor had not
+/// reached yet. The successor started the job as well.
 #[test]
 fn an_owner_that_was_paused_confirms_its_epoch_before_it_starts_anything() {
     const PAUSE_MS: u64 = 2_000;
@@ -514,7 +558,10 @@
     fleet.now_ms += PAUSE_MS;
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.settle();
-    assert!(fleet.starts.is_empty(), "another may own meanwhile");
+    assert!(
+        fleet.starts.is_empty(),
+        "a start was sent although there may be another owner"
+    );
 
     let confirmed_ms = fleet.now_ms;
     fleet.tell(Input::EpochConfirmed(confirmed_ms));
@@ -524,39 +571,40 @@
     assert_eq!(fleet.starts.len(), 1);
 }
 
-/// A new owner of 3,000 workers called all of them at once: for a second it sent
-/// no heartbeats, and the next candidate took over and did the same.
+/// Guards against a chain of takeovers. A new owner of 3,000 workers polled all of them at
+/// once and sent no heartbeats for a second, so the next candidate took over and did the
+/// same.
 #[test]
-fn a_new_owner_asks_its_workers_in_portions() {
+fn a_new_owner_limits_its_polls_in_flight() {
     const WORKERS: usize = 400;
-    const PORTION: usize = 128;
-    let mut scheduler = new_owner_of(WORKERS);
+    const MAX_IN_FLIGHT: usize = 128;
+    let mut scheduler = new_owner_with_workers(WORKERS);
 
-    let (mut on_their_way, mut most, mut asked) = (Vec::new(), 0, 0);
+    let (mut in_flight, mut most, mut polled) = (Vec::new(), 0, 0);
     for now_ms in BEGIN_MS..BEGIN_MS + 2_000 {
         for action in scheduler.decide(now_ms) {
             if let Action::Poll { callee, .. } = action {
-                on_their_way.push(callee.worker);
+                in_flight.push(callee.worker);
             }
         }
-        most = most.max(on_their_way.len());
-        for worker in on_their_way.drain(..) {
-            asked += 1;
+        most = most.max(in_flight.len());
+        for worker in in_flight.drain(..) {
+            polled += 1;
             let outcome = CallOutcome::NoAnswer;
             scheduler.handle(Input::PollFailed { worker, outcome }, now_ms);
         }
     }
-    assert_eq!(most, PORTION);
+    assert_eq!(most, MAX_IN_FLIGHT);
     assert!(
-        asked >= 2 * WORKERS,
-        "each is asked again and again: {asked}"
+        polled >= 2 * WORKERS,
+        "workers were not polled again: {polled}"
     );
 }
 
-/// The rule for paused owners would have kept an owner from ever giving an
-/// order on a VM so slow that each pass takes more than a second.
+/// Guards against an owner that is always taken as paused, and so never sends an order, on a
+/// VM so slow that each pass takes more than a second.
 #[test]
-fn an_owner_that_is_always_slow_is_not_taken_for_paused() {
+fn an_owner_that_is_always_slow_keeps_its_authority() {
     const PASS_MS: u64 = 1_200;
     const CONFIRMED_BEFORE_MS: u64 = 300;
     let mut fleet = Fleet::with_workers(1);
@@ -569,12 +617,12 @@
     assert!(fleet.scheduler.has_authority());
 }
 
-/// A task had left a worker that was leaving, and went on at another, which fell
-/// silent; the store named it as closed with an earlier and a later run. The next
-/// owner waited for the earlier one only, heard that it is over, and started the
-/// task a second time.
+/// Guards against running a task twice. The task was moved off a draining worker to another,
+/// which became unresponsive, so both its runs were stored with closed workers. The next
+/// owner waited only for the earlier run, learned that it had ended, and started the task
+/// again.
 #[test]
-fn the_newest_of_two_runs_that_are_noted_holds_its_task() {
+fn the_newest_of_two_stored_runs_blocks_its_task() {
     for gang in [false, true] {
         let mut fleet = Fleet::with_workers(3);
         let spec = record("plain", vec![StepSpec { gang, ..step(1, 1) }]);
@@ -599,31 +647,35 @@
         let mut next = fleet.next_owner(2, &[(job, spec)], false);
         next.advance(5_000);
 
-        assert_eq!(next.starts, [], "run 2 may be on w1, gang: {gang}");
+        assert_eq!(
+            next.starts,
+            [],
+            "a start was sent while run 2 may be on w1, gang: {gang}"
+        );
     }
 }
 
-/// The store still listed a crashed life of a worker beside the living one at
-/// the same address. A new owner, told of the crashed one first, held the living
-/// one for replaced, did not wait for it, and eight tasks ran twice.
+/// Guards against running tasks twice. The store still listed a crashed incarnation of a
+/// worker beside the live one at the same address. A new owner that read the crashed one
+/// first treated the live one as replaced and did not wait for it: eight tasks ran twice.
 #[test]
-fn an_entry_of_a_crashed_life_does_not_end_the_living_one() {
+fn an_entry_of_a_crashed_incarnation_does_not_end_the_live_one() {
     const OTHER: &str = "other";
     let at_address = |name: &str| WorkerInfo {
         address: "shared:1".to_owned(),
         ..worker_info(name, "r1")
     };
-    let known = |name: &str, address: &str| Input::RosterWorker {
+    let roster_worker = |name: &str, address: &str| Input::RosterWorker {
         worker_name: name.to_owned(),
         address: address.to_owned(),
         closed_runs: None,
     };
     let mut scheduler = Scheduler::new(2, Tuning::default(), BEGIN_MS);
     let job = record("plain", vec![step(1, 1)]);
-    let told = [
+    let inputs = [
         Input::Configure(Arc::new(configuration(64))),
-        known("living", "shared:1"),
-        known(OTHER, "other:1"),
+        roster_worker("living", "shared:1"),
+        roster_worker(OTHER, "other:1"),
         Input::WorkerRegistered(at_address("crashed")),
         Input::WorkerRegistered(at_address("living")),
         Input::WorkerRegistered(worker_info(OTHER, "r1")),
@@ -637,7 +689,7 @@
             earlier_owner_over: false,
         },
     ];
-    for input in told {
+    for input in inputs {
         scheduler.handle(input, BEGIN_MS);
     }
 
@@ -646,7 +698,7 @@
         scheduler.handle(Input::EpochConfirmed(now_ms), now_ms);
         for action in scheduler.decide(now_ms) {
             match action {
-                // Only the third worker answers.
+                // Only the third worker answers polls.
                 Action::Poll { callee, .. } if &*callee.worker_name == OTHER => {
                     let report = PollReport {
                         clock_ms: now_ms,
@@ -678,12 +730,15 @@
             scheduler.handle(input, now_ms);
         }
     }
-    assert_eq!(started, 0, "the living one may run it");
+    assert_eq!(
+        started, 0,
+        "a task that may run on the live incarnation was started"
+    );
 }
 
-/// A worker answered a new owner once, showed a run, and fell silent before this
-/// owner had given it a lease. That of the earlier owner held for over at once:
-/// the task was started anew while it ran.
+/// Guards against running a task twice. A worker answered a new owner once, listed a run, and
+/// became unresponsive before this owner had given it a lease. The lease of the earlier owner
+/// was taken as expired at once, and the task was started again while it ran.
 #[test]
 fn a_lease_of_the_earlier_owner_is_waited_for_after_one_answer() {
     let mut fleet = Fleet::with_workers(2);
@@ -693,7 +748,7 @@
     let (worker, _) = fleet.running()[0].clone();
 
     let mut next = fleet.next_owner(2, &[job], false);
-    // Without a confirmation after a pause it gives no leases.
+    // Without a confirmation of its epoch after a pause, the owner gives no leases.
     next.now_ms += 1_500;
     for _ in 0..15 {
         next.now_ms += 10;
@@ -705,12 +760,12 @@
     assert!(next.starts.is_empty(), "{:?}", next.starts);
 }
 
-/// While the answers to first looks came in, the worker that had just answered
-/// got a second first look, which carries no lease.
+/// Guards against a second first poll, which carries no lease, to a worker that has just
+/// answered its first poll while other first polls are still waiting.
 #[test]
-fn a_worker_that_answered_gets_a_lease_with_the_next_look() {
+fn a_worker_that_answered_gets_a_lease_with_the_next_poll() {
     const WORKERS: usize = 200;
-    let mut scheduler = new_owner_of(WORKERS);
+    let mut scheduler = new_owner_with_workers(WORKERS);
     let mut answered = Vec::new();
     for now_ms in BEGIN_MS..BEGIN_MS + 200 {
         for action in scheduler.decide(now_ms) {
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the name that they had.
+//! Tests of workers that restart under the same name.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -37,12 +37,14 @@
     WorkerInfo, //
 };
 
-/// Time for a poll, its answer and what follows.
+/// Enough time for a poll, its answer and the resulting actions.
 const SETTLED_MS: u64 = 500;
-/// After three crashes a task may be started twice more.
-const MOST_STARTS: usize = 5;
+/// Most starts of a task that crashes its workers: after three crashes it may be started
+/// twice more.
+const MAX_STARTS: usize = 5;
 
-/// One worker whose owner has acknowledged three ends, and which has then restarted.
+/// Returns a fleet of one worker whose first three ends were acknowledged and which has
+/// restarted since.
 fn restarted_after_three_ends(restart: impl FnOnce(&mut Fleet)) -> Fleet {
     let mut fleet = Fleet::with_workers(1);
     let id = fleet.submit(9, record("plain", vec![step(3, 1)]));
@@ -61,11 +63,11 @@
     starts.filter(|(name, ..)| name.task.job == id).count()
 }
 
-fn view(fleet: &Fleet, id: JobId) -> Option<JobStatus> {
+fn status_of(fleet: &Fleet, id: JobId) -> Option<JobStatus> {
     fleet.scheduler.job_status(id)
 }
 
-/// Gives such a worker a job of one task, and has it done.
+/// Submits a job of one task, ends its run as done, and asserts that it ran once.
 fn assert_done_once(mut fleet: Fleet) {
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
@@ -74,10 +76,10 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 1);
-    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Completed));
 }
 
-/// Guards against a task that runs again: its done end had a number that the worker's
+/// Guards against running a done task again because its end has a number that the worker's
 /// earlier incarnation had used.
 #[test]
 fn a_done_end_of_a_restarted_worker_counts() {
@@ -86,9 +88,10 @@
     assert_done_once(fleet);
 }
 
-/// Guards against the same where the worker is polled long before its entry is read.
+/// Guards against running a done task again if the restarted worker is polled long before
+/// its new entry is read.
 #[test]
-fn a_done_end_counts_also_where_the_entry_comes_late() {
+fn a_done_end_counts_if_the_entry_is_read_late() {
     let fleet = restarted_after_three_ends(|fleet| {
         fleet.restart_untold("w0");
         fleet.advance(SETTLED_MS);
@@ -98,7 +101,7 @@
     assert_done_once(fleet);
 }
 
-/// Guards against a third attempt where two are allowed: the first failed end had a
+/// Guards against a third attempt where two are allowed, because the first failed end has a
 /// number that the worker's earlier incarnation had used.
 #[test]
 fn a_failed_end_of_a_restarted_worker_counts() {
@@ -112,13 +115,13 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 2);
-    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
 }
 
-/// Guards against a job that stands still beside idle workers: all tasks of its first
-/// step had ended, and the ends of those on restarted workers were missed.
+/// Guards against a job that makes no progress beside idle workers because the ends of its
+/// first step on restarted workers were missed.
 #[test]
-fn a_step_that_is_done_on_restarted_workers_is_followed_by_the_next() {
+fn a_step_done_on_restarted_workers_is_followed_by_the_next() {
     let mut fleet = Fleet::with_workers(4);
     let second = StepSpec {
         after: vec![0],
@@ -136,18 +139,22 @@
 
     let starts = fleet.starts.iter();
     let second = starts.filter(|(name, ..)| name.task.step == 1).count();
-    assert!(second >= 2, "the second step has begun");
+    assert!(second >= 2, "the second step has not begun");
 }
 
-/// What was lost with a restarted worker starts again, at once, once.
+/// The runs that are lost with a restarted worker start again at once, and only once.
 #[test]
-fn what_ran_on_a_restarted_worker_starts_again_once() {
+fn runs_of_a_restarted_worker_start_again_once() {
     let mut fleet = Fleet::with_workers(2);
-    let single = fleet.submit(1, record("plain", vec![step(6, 1)]));
-    let whole = fleet.submit(2, record("plain", vec![gang(2, 4)]));
+    let single_job = fleet.submit(1, record("plain", vec![step(6, 1)]));
+    let gang_job = fleet.submit(2, record("plain", vec![gang(2, 4)]));
     fleet.advance(SETTLED_MS);
-    let there = fleet.running().iter().filter(|(on, _)| on == "w0").count();
-    assert!(there > 0);
+    let on_worker = fleet
+        .running()
+        .iter()
+        .filter(|(worker_name, _)| worker_name == "w0")
+        .count();
+    assert!(on_worker > 0);
     fleet.starts.clear();
 
     fleet.restart("w0");
@@ -156,16 +163,22 @@
     let mut tasks: Vec<TaskId> = fleet.running().iter().map(|(_, name)| name.task).collect();
     let running = tasks.len();
     tasks.dedup();
-    assert_eq!(tasks.len(), running, "nothing runs twice");
-    assert_eq!(running, 8, "all of both jobs: {single}, {whole}");
+    assert_eq!(tasks.len(), running, "a task runs twice");
+    assert_eq!(
+        running, 8,
+        "not all tasks of jobs {single_job} and {gang_job} run"
+    );
     let lost = fleet.actions.iter().any(|action| {
         matches!(action, Action::Decided(Decision::WorkerLost { reason, .. }) if *reason == "restarted")
     });
-    assert!(lost, "the log says why");
+    assert!(
+        lost,
+        "no lost worker with the reason `restarted` was logged"
+    );
 }
 
-/// Guards against a task that runs twice at a time: its start had no answer from the
-/// incarnation that crashed, and was carried out by the next, after its task had been
+/// Guards against running a task twice at the same time: its start had no answer from the
+/// incarnation that crashed, and was carried out by the next one after the task had been
 /// started elsewhere.
 #[test]
 fn a_start_that_arrives_after_the_restart_runs_only_once() {
@@ -174,11 +187,11 @@
         fleet.late_start_ms = Some(late_ms);
         let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
         fleet.advance(100);
-        let on = fleet.starts[0].1.clone();
+        let worker_name = fleet.starts[0].1.clone();
         fleet.late_start_ms = None;
 
-        fleet.silent.push(on.clone());
-        fleet.restart_untold(&on);
+        fleet.silent.push(worker_name.clone());
+        fleet.restart_untold(&worker_name);
         fleet.advance(300);
         fleet.silent.clear();
         fleet.advance(2_000);
@@ -187,12 +200,17 @@
         assert_eq!(fleet.running().len(), 1, "{late_ms}");
         fleet.end_all(id, EndKind::Done);
         fleet.advance(SETTLED_MS);
-        assert_eq!(view(&fleet, id), Some(JobStatus::Completed), "{late_ms}");
+        assert_eq!(
+            status_of(&fleet, id),
+            Some(JobStatus::Completed),
+            "{late_ms}"
+        );
     }
 }
 
-/// The same where the run had been stopped, and its task started elsewhere, before the
-/// worker restarted: the next incarnation knows nothing of the stop.
+/// Guards against running a task twice at the same time: its run had been stopped and the
+/// task started elsewhere before the worker restarted, and the next incarnation does not
+/// know of the stop.
 #[test]
 fn a_start_that_was_stopped_before_the_restart_is_stopped_again_after_it() {
     let mut fleet = Fleet::with_workers(2);
@@ -200,21 +218,21 @@
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(300);
     fleet.late_start_ms = None;
-    let on = fleet.starts[0].1.clone();
-    fleet.tell(Input::WorkerRegistered(leaving_info(&on, 60_000)));
+    let worker_name = fleet.starts[0].1.clone();
+    fleet.tell(Input::WorkerRegistered(leaving_info(&worker_name, 60_000)));
     fleet.advance(1_000);
     let elsewhere = fleet.running();
-    assert_eq!(elsewhere.len(), 1, "it was given up there");
-    assert_ne!(elsewhere[0].0, on);
+    assert_eq!(elsewhere.len(), 1, "the task did not start elsewhere");
+    assert_ne!(elsewhere[0].0, worker_name);
 
-    fleet.restart_untold(&on);
+    fleet.restart_untold(&worker_name);
     fleet.advance(1_500);
 
     assert!(fleet.overlaps.is_empty(), "{:?}", fleet.overlaps);
 }
 
-/// Guards against starts beyond a worker's room: an incarnation may be of another kind,
-/// and what the one before had says nothing of it.
+/// Guards against starts beyond a worker's capacity: the next incarnation may have a
+/// different capacity from the one before.
 #[test]
 fn a_restarted_worker_gets_work_by_its_own_entry_only() {
     let mut fleet = Fleet::with_workers(1);
@@ -223,7 +241,10 @@
     fleet.advance(SETTLED_MS);
     let id = fleet.submit(1, record("plain", vec![step(8, 1)]));
     fleet.advance(2 * SETTLED_MS);
-    assert!(fleet.starts.is_empty(), "its entry is of the one before");
+    assert!(
+        fleet.starts.is_empty(),
+        "a start was sent although the entry is of the earlier incarnation"
+    );
     let two = Resources {
         accelerators: 2,
         ..worker_info("w0", "r1").capacity
@@ -238,32 +259,49 @@
     assert_eq!(starts_of(&fleet, id), 2);
 }
 
-/// Guards against a task that runs twice: another writer's entry says that a worker has
-/// restarted, and the worker itself does not.
+/// Guards against running a task twice because an entry by another writer says that a worker
+/// has restarted, although the worker itself has not.
 #[test]
 fn an_entry_alone_ends_no_incarnation() {
     let mut fleet = Fleet::with_workers(2);
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
-    let (on, run) = fleet.running()[0].clone();
+    let (worker_name, run) = fleet.running()[0].clone();
 
     fleet.tell(Input::WorkerRegistered(WorkerInfo {
         incarnation_start_ms: Some(fleet.now_ms),
-        ..worker_info(&on, "r1")
+        ..worker_info(&worker_name, "r1")
     }));
     fleet.advance(2 * SETTLED_MS);
 
-    assert_eq!(fleet.running(), [(on.clone(), run)], "it goes on");
+    assert_eq!(
+        fleet.running(),
+        [(worker_name.clone(), run)],
+        "the run did not continue"
+    );
     fleet.submit(2, record("plain", vec![step(16, 1)]));
     fleet.advance(2 * SETTLED_MS);
-    let there = fleet.starts.iter().filter(|(_, worker, _)| *worker == on);
-    assert_eq!(there.count(), 1, "it gets no work by that entry");
+    let on_worker = fleet
+        .starts
+        .iter()
+        .filter(|(_, worker, _)| *worker == worker_name);
+    assert_eq!(
+        on_worker.count(),
+        1,
+        "the worker got work under an invalid entry"
+    );
     fleet.end_all(id, EndKind::Done);
-    fleet.add_worker(&on, "r1");
+    fleet.add_worker(&worker_name, "r1");
     fleet.advance(SETTLED_MS);
-    assert_eq!(view(&fleet, id), Some(JobStatus::Completed));
-    let there = fleet.starts.iter().filter(|(_, worker, _)| *worker == on);
-    assert!(there.count() > 1, "it serves again");
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Completed));
+    let on_worker = fleet
+        .starts
+        .iter()
+        .filter(|(_, worker, _)| *worker == worker_name);
+    assert!(
+        on_worker.count() > 1,
+        "the worker got no work under its own entry"
+    );
 }
 
 /// Submits a job whose only task crashes its workers.
@@ -276,8 +314,8 @@
     fleet.submit(1, job)
 }
 
-/// Guards against a task that is started for ever: its crashes leave no trace where
-/// workers keep their names.
+/// Guards against starting a task without end because its crashes are not counted if the
+/// crashed workers keep their names.
 #[test]
 fn a_task_that_crashes_workers_that_keep_their_names_is_given_up() {
     let mut fleet = Fleet::with_workers(4);
@@ -287,14 +325,14 @@
     fleet.advance(30_000);
 
     let starts = starts_of(&fleet, id);
-    assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
+    assert!(starts <= MAX_STARTS, "{starts} starts");
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
 }
 
-/// The same while one owner after the other is killed: the next knows from the store
-/// which incarnation was closed with the run.
+/// Guards against uncounted crashes when each owner is killed after one. The next owner
+/// knows from the store which incarnation of the closed worker had the run.
 #[test]
-fn it_is_given_up_whoever_owns() {
+fn a_crashing_task_is_given_up_across_owner_changes() {
     let mut fleet = Fleet::with_workers(4);
     fleet.keeps_names = true;
     let job = record("plain", vec![step(1, 1)]);
@@ -312,25 +350,28 @@
     }
     fleet.advance(10_000);
 
-    assert!(starts <= MOST_STARTS, "{starts} starts");
-    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
+    assert!(starts <= MAX_STARTS, "{starts} starts");
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
 }
 
-/// Guards against a task that waits for a run that is over: a closed worker was stored
-/// with it, and restarted before the next owner asked.
+/// Guards against a task that waits for a run that has ended: a closed worker was stored with
+/// the run, and restarted before the next owner polled it.
 #[test]
 fn a_closed_worker_that_restarted_does_not_hold_its_runs() {
     let mut fleet = Fleet::with_workers(2);
     let job = record("plain", vec![step(1, 1)]);
     let id = fleet.submit(1, job.clone());
     fleet.advance(SETTLED_MS);
-    let (on, _) = fleet.running()[0].clone();
-    fleet.silent.push(on.clone());
+    let (worker_name, _) = fleet.running()[0].clone();
+    fleet.silent.push(worker_name.clone());
     fleet.advance(2 * SETTLED_MS);
-    assert!(fleet.closed[&on].is_some(), "it is closed");
+    assert!(
+        fleet.closed[&worker_name].is_some(),
+        "the worker is not closed"
+    );
 
     fleet.silent.clear();
-    fleet.restart_untold(&on);
+    fleet.restart_untold(&worker_name);
     let mut next = fleet.next_owner(2, &[(id, job)], true);
     next.advance(2 * SETTLED_MS);
 
@@ -338,11 +379,14 @@
     let lost = next.actions.iter().any(|action| {
         matches!(action, Action::Decided(Decision::RunLost { reason, .. }) if *reason == "restarted")
     });
-    assert!(lost, "the log says that the run was lost");
-    assert!(next.closed[&on].is_none(), "it is open again");
+    assert!(lost, "no lost run with the reason `restarted` was logged");
+    assert!(
+        next.closed[&worker_name].is_none(),
+        "the worker is still closed"
+    );
 }
 
-/// A worker that was leaving and is back under its name has not crashed.
+/// A worker that was draining and restarts under its name has not crashed.
 #[test]
 fn a_worker_that_left_and_is_back_under_its_name_has_not_crashed() {
     let mut fleet = Fleet::with_workers(1);
@@ -358,14 +402,15 @@
         .actions
         .iter()
         .any(|action| matches!(action, Action::Decided(Decision::CrashCounted { .. })));
-    assert!(!counted, "nobody is to blame");
+    assert!(!counted, "a crash was counted");
     assert_eq!(starts_of(&fleet, id), 2);
 }
 
-/// Guards against ends that are forgotten unread: after a poll without an answer the
-/// next may meet another incarnation, and acknowledges nothing.
+/// Guards against ends that a worker drops before any owner has received them. After a poll
+/// without an answer the next poll may reach another incarnation, so it acknowledges
+/// nothing.
 #[test]
-fn a_poll_after_silence_acknowledges_nothing() {
+fn a_poll_after_failed_polls_acknowledges_nothing() {
     let mut fleet = Fleet::with_workers(1);
     let id = fleet.submit(1, record("plain", vec![step(2, 1)]));
     fleet.advance(SETTLED_MS);
@@ -385,8 +430,9 @@
     assert_eq!(acknowledged, vec![0; acknowledged.len()]);
 }
 
-/// Guards against the same after a wait: a poll that waits for the store comes so long
-/// after the last answer that the worker may have restarted since.
+/// Guards against ends that a worker drops before any owner has received them. A poll that
+/// was delayed until an end is durable is sent so long after the last answer that the
+/// worker may have restarted since.
 #[test]
 fn a_poll_some_time_after_an_answer_acknowledges_nothing() {
     let mut fleet = Fleet::with_workers(1);
@@ -405,7 +451,11 @@
     fleet.restart_untold("w0");
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(20);
-    assert_eq!(starts_of(&fleet, id), 1, "nobody knows of the restart");
+    assert_eq!(
+        starts_of(&fleet, id),
+        1,
+        "the task did not start before the restart was known"
+    );
     fleet.end_all(id, EndKind::Failed);
     fleet.advance(SETTLED_MS);
     fleet.add_worker("w0", "r1");
@@ -414,5 +464,5 @@
     fleet.advance(SETTLED_MS);
 
     assert_eq!(starts_of(&fleet, id), 2);
-    assert_eq!(view(&fleet, id), Some(JobStatus::Failed));
+    assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
 }
--- a/tests/restarts/whole_path.rs
+++ b/tests/restarts/whole_path.rs
@@ -1,4 +1,5 @@
-//! Such workers on the whole path: real daemons beside a stand-in of the platform.
+//! End-to-end tests of workers that restart under the same name, with real daemons and a
+//! stand-in of the platform.
 
 use super::daemons::{
     epoch,
@@ -26,7 +27,8 @@
 const WORKERS: usize = 4;
 const BETWEEN_RESTARTS: Duration = Duration::from_millis(700);
 
-/// Tasks that were started again after a run of theirs had been done and acknowledged.
+/// Returns the runs of tasks that were started again after one of their runs had been done
+/// and acknowledged.
 fn started_after_done(records: &[RunRecord]) -> Vec<&RunRecord> {
     let mut done = HashMap::new();
     for run in records {
@@ -40,7 +42,7 @@
     records.iter().filter(again).collect()
 }
 
-/// Tasks of which two runs overlap.
+/// Returns the runs that overlap an earlier run of the same task.
 fn overlapping(records: &[RunRecord]) -> Vec<&RunRecord> {
     let overlaps = |run: &&RunRecord| {
         let mut earlier = records
@@ -51,7 +53,7 @@
     records.iter().filter(overlaps).collect()
 }
 
-/// Hands a job in, which the workers know as well.
+/// Submits a job to a daemon, and tells the stand-in's workers about it.
 fn submit(operator: &Operator, daemon: &Daemon, id: u64, body: &str) {
     let known = serde_json::from_str(body).expect("a job");
     operator.world().note_job(id, &known);
@@ -59,14 +61,14 @@
     assert!(matches!(answer, Answer::Status(200, _)), "{answer:?}");
 }
 
-/// The place of the daemon that owns.
+/// Returns the index of the daemon that is the owner.
 fn owner(operator: &Operator) -> usize {
     let root = operator.world().value("owner").expect("an owner");
     usize::from(root["owner"] == "d1")
 }
 
-/// Guards against done tasks that run again and jobs that stand still, while workers
-/// restart under their names, one after the other, and the owner is killed meanwhile.
+/// Guards against done tasks that run again and jobs that make no progress while workers
+/// restart under the same names, one after the other, and the owner is killed.
 #[test]
 fn jobs_are_done_once_while_workers_restart_under_their_names() {
     let operator = Operator::spawn(WORKERS);
@@ -101,9 +103,9 @@
     assert!(again.is_empty(), "{again:#?}");
 }
 
-/// Guards against tasks that run twice while all workers restart at once and then one
-/// after the other, some starts are carried out late, and the owner is paused meanwhile
-/// and wakes beside its successor.
+/// Guards against tasks that run twice while all workers restart at once and then one after
+/// the other, some starts are carried out late, and the owner is paused and resumes beside
+/// its successor.
 #[test]
 fn jobs_are_done_once_beside_an_owner_that_was_paused() {
     let operator = Operator::spawn(WORKERS);
@@ -142,7 +144,7 @@
     assert!(twice.is_empty(), "{twice:#?}");
 }
 
-/// Guards against a third attempt where two are allowed, on workers that restart.
+/// Guards against a third attempt on workers that restart, where two are allowed.
 #[test]
 fn a_failing_job_gets_its_attempts_and_no_more() {
     let operator = Operator::spawn(1);
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -1,4 +1,4 @@
-//! Upkeep of machines in waves: bounds, time, and tasks that last.
+//! Tests of the upkeep of machines in waves: caps, time limits and long-running tasks.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -17,7 +17,7 @@
     WaveOrder, //
 };
 
-/// Long enough for a new owner to give orders for machines.
+/// Time after which a new owner may order upkeeps.
 const SETTLED_MS: u64 = 4_000;
 const STEP_MS: u64 = 10;
 
@@ -37,19 +37,21 @@
     })
 }
 
-fn noted(fleet: &Fleet, completed: bool) -> bool {
-    let wanted = Action::StoreWaveState { wave: 1, completed };
-    fleet.actions.contains(&wanted)
+/// Whether the wave was stored with this state.
+fn is_stored(fleet: &Fleet, completed: bool) -> bool {
+    let action = Action::StoreWaveState { wave: 1, completed };
+    fleet.actions.contains(&action)
 }
 
-/// Advances until the wave is noted as completed; the most that were down.
-fn play(fleet: &mut Fleet, most_ms: u64) -> usize {
+/// Advances until the wave is stored as completed, but at most by `most_ms`. Returns the
+/// largest number of machines that were down at a time.
+fn advance_until_completed(fleet: &mut Fleet, most_ms: u64) -> usize {
     let until_ms = fleet.now_ms + most_ms;
     let mut most_down = 0;
-    while fleet.now_ms < until_ms && !noted(fleet, true) {
+    while fleet.now_ms < until_ms && !is_stored(fleet, true) {
         fleet.advance(STEP_MS);
         most_down = most_down.max(fleet.down());
-        // Work that stands still would be taken for hanging.
+        // A run without progress would be stopped as hanging.
         let runs = fleet
             .workers
             .values_mut()
@@ -60,65 +62,79 @@
 }
 
 #[test]
-fn a_wave_takes_empty_machines_first_and_waits_for_what_runs() {
+fn a_wave_takes_empty_machines_first_and_waits_for_runs() {
     let mut fleet = fleet_with_machines(3);
     let job = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     let busy = format!("m-{}", fleet.running()[0].0);
     fleet.tell(wave(&["m-w0", "m-w1", "m-w2"], 60_000, 1));
 
-    let most_down = play(&mut fleet, 12_000);
+    let most_down = advance_until_completed(&mut fleet, 12_000);
 
     assert_eq!(most_down, 1);
-    assert!(noted(&fleet, false), "it is said to be running");
-    assert!(!noted(&fleet, true), "one machine is still at work");
+    assert!(is_stored(&fleet, false), "the wave is not stored as open");
+    assert!(
+        !is_stored(&fleet, true),
+        "the wave was completed while a machine was busy"
+    );
     assert_eq!(fleet.upkeeps.len(), 2);
     assert!(fleet.upkeeps.iter().all(|(machine, _)| *machine != busy));
 
     fleet.end_all(job, fuchsiaslip::scheduler::EndKind::Done);
-    play(&mut fleet, 6_000);
-    assert!(noted(&fleet, true));
-    assert_eq!(fleet.upkeeps.len(), 3, "each machine had its upkeep once");
-    assert_eq!(fleet.starts.len(), 1, "nothing was thrown away");
+    advance_until_completed(&mut fleet, 6_000);
+    assert!(is_stored(&fleet, true));
+    assert_eq!(
+        fleet.upkeeps.len(),
+        3,
+        "not each machine had its upkeep exactly once"
+    );
+    assert_eq!(fleet.starts.len(), 1, "a run was lost and started again");
 }
 
 #[test]
-fn a_wave_that_would_be_late_ends_what_runs() {
+fn a_wave_that_would_be_late_ends_runs() {
     let mut fleet = fleet_with_machines(1);
     fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     fleet.tell(wave(&["m-w0"], 8_000, 1));
 
-    play(&mut fleet, 9_000);
+    advance_until_completed(&mut fleet, 9_000);
 
-    assert!(noted(&fleet, true), "in time");
+    assert!(
+        is_stored(&fleet, true),
+        "the wave was not completed in time"
+    );
 }
 
 #[test]
-fn no_more_machines_are_down_or_in_doubt_than_the_wave_allows() {
+fn no_more_machines_than_the_cap_are_down_or_may_be_down() {
     let mut fleet = fleet_with_machines(4);
     fleet.upkeep_answers = false;
     fleet.tell(wave(&["m-w0", "m-w1", "m-w2", "m-w3"], 60_000, 2));
 
     fleet.advance(5_000);
-    assert_eq!(fleet.upkeeps.len(), 2, "two may be down, so no third");
+    assert_eq!(
+        fleet.upkeeps.len(),
+        2,
+        "the number of orders does not match the cap of two"
+    );
 
     fleet.upkeep_answers = true;
-    let most_down = play(&mut fleet, 20_000);
+    let most_down = advance_until_completed(&mut fleet, 20_000);
     assert!(most_down <= 2);
-    assert!(noted(&fleet, true));
+    assert!(is_stored(&fleet, true));
     assert_eq!(fleet.upkeeps.len(), 4);
 }
 
 #[test]
-fn lasting_tasks_move_off_within_their_bound() {
+fn long_running_tasks_move_off_within_their_bound() {
     let mut fleet = fleet_with_machines(3);
-    let lasting = StepSpec {
+    let long_running_step = StepSpec {
         long_running: true,
         max_unavailable: Some(1),
         ..step(4, 2)
     };
-    let job = fleet.submit(1, record("plain", vec![lasting]));
+    let job = fleet.submit(1, record("plain", vec![long_running_step]));
     fleet.advance(500);
     let at_work = |fleet: &mut Fleet| {
         for fake in fleet.workers.values_mut() {
@@ -132,7 +148,7 @@
 
     let mut fewest = 4;
     for _ in 0..1_200 {
-        // What moved is at work again after a while.
+        // Moved tasks complete their starts after a while.
         fleet.advance(STEP_MS);
         if fleet.now_ms.is_multiple_of(300) {
             at_work(&mut fleet);
@@ -140,16 +156,16 @@
         fewest = fewest.min(fleet.running().len());
     }
 
-    assert!(noted(&fleet, true));
-    assert!(fewest >= 3, "{fewest} of 4 were there at the worst");
+    assert!(is_stored(&fleet, true));
+    assert!(fewest >= 3, "only {fewest} of 4 tasks were running");
     assert_eq!(fleet.running().len(), 4);
     assert!(fleet.running().iter().all(|(_, run)| run.task.job == job));
 }
 
-/// A wave that a new owner found half done could have been begun anew: each
-/// machine that had its upkeep would have had it again, or none been counted.
+/// Guards against a new owner that begins a half-done wave again: machines would have their
+/// upkeep twice, or a finished upkeep would not be counted.
 #[test]
-fn a_new_owner_goes_on_with_a_wave() {
+fn a_new_owner_continues_a_wave() {
     let mut fleet = fleet_with_machines(2);
     fleet.tell(wave(&["m-w0", "m-w1"], 60_000, 1));
     while fleet.upkeeps.is_empty() {
@@ -163,11 +179,15 @@
     next.advance(2_500);
     assert!(
         next.upkeeps.is_empty(),
-        "the earlier owner may have ordered just now"
+        "an upkeep was ordered while the earlier owner may still send orders"
     );
 
-    let most_down = play(&mut next, 20_000);
+    let most_down = advance_until_completed(&mut next, 20_000);
     assert!(most_down <= 1);
-    assert!(noted(&next, true));
-    assert_eq!(next.upkeeps.len(), 1, "only the machine that was left");
+    assert!(is_stored(&next, true));
+    assert_eq!(
+        next.upkeeps.len(),
+        1,
+        "not exactly the remaining machine had its upkeep"
+    );
 }
