--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,9 +1,10 @@
-//! Giving orders to workers, and what becomes of them.
+//! Sends starts and stops to workers and handles their results.
 //!
-//! An order without an answer may have been carried out, or may be seconds
-//! later. A start is sent again under the same number, which a worker takes as
-//! the same start; after some tries the run is stopped, and a worker refuses a
-//! run that was stopped before it arrived. Only then the task starts elsewhere.
+//! An order without an answer may have been carried out, or may still be carried out
+//! seconds later. A start is therefore sent again under the same run number, which a
+//! worker treats as the same start. After several attempts the run is stopped, and a
+//! worker refuses a start that arrives after the stop of the same run. Only then does the
+//! task start elsewhere.
 
 use super::action::{
     Action,
@@ -25,13 +26,14 @@
 use crate::core::WorkerKey;
 use std::sync::Arc;
 
-/// Numbers of runs that one epoch may give to a task. A worker refuses a run that is
-/// not above those it knows, so an owner that used more would leave the next one without
-/// a start there; refused starts count too, and what lasts is started again for months.
+/// Run numbers that one epoch may give to a task. A worker refuses a run whose number is
+/// not above those it knows, so after an owner that used more, every start of the next
+/// owner would be refused. Refused starts use a number too, and a long-running task is
+/// started again and again for months.
 const RUNS_PER_EPOCH: u64 = 100_000;
 
 impl Scheduler {
-    /// Gives a run to a worker; the caller has checked the room.
+    /// Starts a run on a worker. The caller has checked that its resources are free.
     pub(super) fn start_run(&mut self, key: WorkerKey, group_key: GroupKey, index: u32, run: u64) {
         let name = RunName {
             task: group_key.task(index),
@@ -84,25 +86,26 @@
             waited_ms,
         };
         self.decided(decision);
-        self.note_start_on(key);
+        self.record_start_on(key);
         self.send_start(key, name);
     }
 
+    /// Sends the start of a run, or stops the run if it may no longer start.
     fn send_start(&mut self, key: WorkerKey, name: RunName) {
-        /// Starts without an answer after which the run is stopped instead.
+        /// Number of starts without an answer after which the run is stopped instead.
         const MAX_SENDS: u32 = 3;
         let now_ms = self.now_ms;
         let group_key = GroupKey::of(name.task);
         let sends = self.worker(key).runs.get(&name).map_or(0, |run| run.sends);
         if self.worker(key).emptied {
-            // A start that got no answer may not be there yet: sent again, it
-            // would begin long after the order that nothing more does.
+            // A start without an answer may not have arrived yet. If it were sent again,
+            // the run could begin long after the order to empty the data centre.
             self.stop_run(key, name, StopReason::DataCentreEmptied);
             return;
         }
-        let room_shrunk = self.worker(key).is_overfull() && self.is_unguarded(key);
-        if sends > 0 && (room_shrunk || self.is_room_unknown(key)) {
-            // Carried out only now, it would bring the worker over its capacity.
+        let capacity_shrunk = self.worker(key).is_overfull() && self.is_unguarded(key);
+        if sends > 0 && (capacity_shrunk || self.is_room_unknown(key)) {
+            // If the start were carried out only now, the worker would exceed its capacity.
             self.stop_run(key, name, StopReason::RoomShrunk);
             return;
         }
@@ -144,12 +147,13 @@
         });
     }
 
-    /// Whether a worker starts whatever it is told to, whatever room it has.
+    /// Whether a worker starts every run without checking its own capacity.
     pub(super) fn is_unguarded(&self, key: WorkerKey) -> bool {
         let service = &self.worker(key).info.service;
         self.configuration.unguarded_services.contains(service)
     }
 
+    /// Handles the result of a start.
     pub(super) fn handle_start_result(
         &mut self,
         key: WorkerKey,
@@ -184,14 +188,14 @@
             }
             CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
             CallOutcome::Refused(StartRefusal::Fenced) => self.actions.push(Action::OwnershipLost),
-            CallOutcome::Refused(refusal) => self.start_refused(key, name, refusal),
+            CallOutcome::Refused(refusal) => self.handle_start_refusal(key, name, refusal),
         }
     }
 
-    fn start_refused(&mut self, key: WorkerKey, name: RunName, refusal: StartRefusal) {
-        /// A worker that refused a start gets none for this long: sent again at once,
-        /// starts that it refuses for a lasting reason come by the thousand a second.
-        const DOUBT_MS: u64 = 150;
+    fn handle_start_refusal(&mut self, key: WorkerKey, name: RunName, refusal: StartRefusal) {
+        /// Time for which a worker that refused a start gets none. Without the wait, a
+        /// worker that refuses for a lasting reason gets thousands of starts a second.
+        const REFUSAL_BACKOFF_MS: u64 = 150;
         let now_ms = self.now_ms;
         self.retried(key, name, refusal.name());
         let worker = self.worker_mut(key);
@@ -202,19 +206,20 @@
             return;
         }
         if run.sends > 1 {
-            // An earlier copy of the order may have been carried out, and may
-            // have ended already: only a later look can tell.
+            // An earlier copy of the start may have been carried out, and the run may
+            // have ended already. Only a later poll shows that.
             run.phase = RunPhase::Stopping;
             run.resend_ms = now_ms;
             return;
         }
         match refusal {
             StartRefusal::NoRoom | StartRefusal::OldRun | StartRefusal::Malformed => {
-                worker.full_until_ms = now_ms + DOUBT_MS;
+                worker.full_until_ms = now_ms + REFUSAL_BACKOFF_MS;
             }
-            // Its clock was read from an answer that had lain here, as after a pause.
+            // The worker's clock was read from an answer that had waited in this process,
+            // for example during a pause.
             StartRefusal::Late => worker.clock_doubted = true,
-            StartRefusal::Unhealthy => worker.full_until_ms = now_ms + 4 * DOUBT_MS,
+            StartRefusal::Unhealthy => worker.full_until_ms = now_ms + 4 * REFUSAL_BACKOFF_MS,
             StartRefusal::NoTicket => {
                 if let Some(group) = self.groups.get_mut(&GroupKey::of(name.task)) {
                     group.advice.tickets.remove(&key);
@@ -225,6 +230,7 @@
         self.run_gone(key, name);
     }
 
+    /// Reports that a run did not start: refused, not answered, or absent from a poll.
     pub(super) fn retried(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
         let worker = self.worker(key).name();
         self.decided(Decision::Retried {
@@ -234,13 +240,14 @@
         });
     }
 
+    /// Records that a run of the job has started.
     pub(super) fn note_started(&mut self, name: RunName) {
         if let Some(job) = self.jobs.get_mut(&name.task.job) {
             job.started = true;
         }
     }
 
-    /// Stops a run unless that is under way.
+    /// Stops a run, unless it is stopping or ending already.
     pub(super) fn stop_run(&mut self, key: WorkerKey, name: RunName, reason: StopReason) {
         let now_ms = self.now_ms;
         let lost_core_s = self.lost_core_s(key, name);
@@ -275,6 +282,7 @@
         }
     }
 
+    /// Handles the result of a stop.
     pub(super) fn handle_stop_result(
         &mut self,
         key: WorkerKey,
@@ -301,7 +309,8 @@
         }
     }
 
-    /// Sends again what was not answered, and stops what was never confirmed.
+    /// Sends starts and stops again that got no answer. After several attempts to start a
+    /// run, it is stopped instead.
     pub(super) fn review_runs(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let due: Vec<(RunName, RunPhase)> = self
@@ -323,7 +332,8 @@
         }
     }
 
-    /// The number of the next run of a group's tasks; a gang's members share it.
+    /// Returns the number of the next run of a task, or with no `index` of a whole gang,
+    /// whose members share it.
     pub(super) fn next_run(&self, key: GroupKey, index: Option<u32>) -> u64 {
         let tasks = &self.groups[&key].tasks;
         let highest = match index {
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -1,12 +1,12 @@
-//! Emptying data centres on the operators' order.
+//! Empties data centres on the operators' order.
 //!
-//! Load pattern: operators ask, for some seconds or for good, that the workers of
-//! a data centre get nothing new, and want that in force some seconds later,
-//! while jobs keep coming. From the moment at which the order is known nothing is
-//! started there, and every reckoning of room passes the data centre over. What
-//! runs there ends by itself: a stop would throw work away that the order does
-//! not ask for. Limits: an order that is not known yet is not kept, so an owner
-//! that did not read the orders for too long starts nothing anywhere.
+//! Load pattern: operators order, for some seconds or for good, that the workers of a
+//! data centre get no new tasks, and expect that within some seconds, while jobs keep
+//! coming. From the moment at which the order is known, nothing is started there, and all
+//! calculations of capacity leave the data centre out. Runs there end by themselves: to
+//! stop them would lose work, which the order does not ask for. Limits: an order that is
+//! not known yet is not obeyed, so an owner that has not read the orders for too long
+//! starts nothing anywhere.
 
 use super::action::{
     Action,
@@ -28,7 +28,7 @@
 pub struct EmptyingOrder {
     /// The data centre.
     pub data_centre: String,
-    /// The store's revision at which it was given.
+    /// The store's revision at which the order was given.
     pub revision: u64,
 }
 
@@ -36,23 +36,24 @@
 #[derive(Clone, Copy, Debug)]
 struct InForce {
     revision: u64,
-    /// When this owner learned of it.
+    /// When this owner learned of the order.
     since_ms: u64,
 }
 
-/// The orders in force, and how well they are known.
+/// The orders in force and how recently they were read.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Emptying {
     in_force: BTreeMap<String, InForce>,
-    /// All orders that were acknowledged until then are known.
-    view: Freshness,
-    /// Data centres that were given back and got no start since, with when.
-    unused: BTreeMap<String, u64>,
+    /// The time up to which all acknowledged orders are known.
+    freshness: Freshness,
+    /// Data centres whose order was withdrawn and that got no start since, with the time
+    /// of the withdrawal.
+    not_yet_used: BTreeMap<String, u64>,
 }
 
 impl Emptying {
-    /// Whether a data centre gets no new tasks. A worker that does not say where it
-    /// is may be in any: it gets none while there is an order.
+    /// Whether a data centre gets no new tasks. A worker that does not report its data
+    /// centre may be in any, so it gets none while any order is in force.
     pub(super) fn names(&self, data_centre: &str) -> bool {
         let unknown = data_centre.is_empty() && !self.in_force.is_empty();
         unknown || self.in_force.contains_key(data_centre)
@@ -60,26 +61,27 @@
 }
 
 impl Scheduler {
-    /// The data centres that get no new tasks, with how long that is known.
+    /// Returns the data centres that get no new tasks, with the time in milliseconds for
+    /// which the order has been known.
     pub fn emptied(&self) -> impl Iterator<Item = (&str, u64)> {
         let orders = self.emptying.in_force.iter();
         orders.map(|(name, order)| (name.as_str(), self.now_ms.saturating_sub(order.since_ms)))
     }
 
-    /// Takes in all orders in force, as the store showed them when it was asked
-    /// at `checked_ms` or later.
+    /// Replaces the orders in force by those that were read from the store at
+    /// `checked_ms` or later.
     pub(super) fn handle_emptying_orders(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
-        // Waiting work is offered room again as soon as that may be done.
+        // Fresh orders allow starts again, so a pass follows at once.
         let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_max_age_ms);
-        self.changed |= self.emptying.view.note(checked_ms, now_ms, bound_ms);
+        self.changed |= self.emptying.freshness.note(checked_ms, now_ms, bound_ms);
         let mut before = std::mem::take(&mut self.emptying.in_force);
-        let (mut new, mut given_anew) = (Vec::new(), Vec::new());
+        let (mut new, mut reissued) = (Vec::new(), Vec::new());
         for order in orders {
             let known = before.remove(&order.data_centre);
             match known {
                 None => new.push(order.data_centre.clone()),
                 Some(known) if known.revision != order.revision => {
-                    given_anew.push(order.data_centre.clone());
+                    reissued.push(order.data_centre.clone());
                 }
                 Some(_) => {}
             }
@@ -89,7 +91,7 @@
             };
             self.emptying.in_force.insert(order.data_centre, in_force);
         }
-        for data_centre in given_anew {
+        for data_centre in reissued {
             self.store_emptied(&data_centre);
         }
         if new.is_empty() && before.is_empty() {
@@ -98,16 +100,16 @@
         self.changed = true;
         self.mark_emptied();
         for data_centre in new {
-            self.emptying.unused.remove(&data_centre);
-            self.note_emptied(&data_centre);
+            self.emptying.not_yet_used.remove(&data_centre);
+            self.report_emptied(&data_centre);
         }
         for (data_centre, order) in before {
-            self.note_given_back(data_centre, order);
+            self.report_withdrawn(data_centre, order);
         }
     }
 
-    /// Marks the workers that get no new tasks, and lets go of room that was
-    /// being freed there: a group that waits for it would wait in vain.
+    /// Marks the workers that get no new tasks, and drops groups' claims to resources that
+    /// are being freed there: a group that waits for them would wait in vain.
     fn mark_emptied(&mut self) {
         for worker in &mut self.workers {
             worker.emptied = self.emptying.names(&worker.info.data_centre);
@@ -130,7 +132,7 @@
         live.filter(move |worker| worker.info.data_centre == data_centre)
     }
 
-    fn note_emptied(&mut self, data_centre: &str) {
+    fn report_emptied(&mut self, data_centre: &str) {
         self.store_emptied(data_centre);
         let there = || self.workers_in(data_centre);
         let last_start_ms = there().map(|worker| worker.started_ms).max();
@@ -143,7 +145,7 @@
             last_start_ago_ms: last_start_ms
                 .filter(|&at_ms| at_ms > 0)
                 .map(|at_ms| self.now_ms.saturating_sub(at_ms)),
-            accelerators_left: self.usable_room().accelerators,
+            accelerators_left: self.usable_capacity().accelerators,
             guaranteed_accelerators: guaranteed
                 .map(|account| account.guaranteed_accelerators)
                 .fold(0, u32::saturating_add),
@@ -159,7 +161,7 @@
         });
     }
 
-    fn note_given_back(&mut self, data_centre: String, order: InForce) {
+    fn report_withdrawn(&mut self, data_centre: String, order: InForce) {
         self.store_emptied(&data_centre);
         let decision = Decision::DataCentreBack {
             data_centre: data_centre.as_str().into(),
@@ -172,36 +174,36 @@
                 .sum(),
         };
         self.decided(decision);
-        self.emptying.unused.insert(data_centre, self.now_ms);
+        self.emptying.not_yet_used.insert(data_centre, self.now_ms);
     }
 
-    /// The room outside the data centres that get no new tasks.
-    fn usable_room(&self) -> Resources {
+    /// The capacity outside the data centres that get no new tasks.
+    fn usable_capacity(&self) -> Resources {
         self.room_of(|worker| worker.is_usable() && !worker.emptied)
     }
 
-    /// The room by which the terms of jobs are reckoned: what may be used. Where
-    /// nothing may, all of it: the data centres are given back some time.
+    /// The capacity by which the terms of jobs are calculated: that which may be used, or
+    /// all of it if none may be used, because the orders will be withdrawn some time.
     pub(super) fn room_for_terms(&self) -> Resources {
-        let usable = self.usable_room();
+        let usable = self.usable_capacity();
         match usable == Resources::default() {
             true => self.room_of(Worker::is_usable),
             false => usable,
         }
     }
 
-    /// Whether all orders are known that were given long enough ago to have to
-    /// be kept. Without this, an owner whose questions for orders alone are not
-    /// answered would start tasks in a data centre long after its order.
+    /// Whether the orders were read recently enough to start tasks. Without this check, an
+    /// owner for which only the reads of the orders fail would start tasks in a data
+    /// centre long after the order to empty it.
     pub(super) fn knows_orders(&self) -> bool {
         let bound_ms = self.tuning.orders_max_age_ms;
-        self.emptying.view.is_fresh(self.now_ms, bound_ms)
+        self.emptying.freshness.is_fresh(self.now_ms, bound_ms)
     }
 
-    /// Tells once that nothing starts since the orders were not read for too long.
-    pub(super) fn note_orders_unread(&mut self) {
+    /// Reports, once each time, that nothing starts because the orders are stale.
+    pub(super) fn report_stale_orders(&mut self) {
         let bound_ms = self.tuning.orders_max_age_ms;
-        if let Some(known_ago_ms) = self.emptying.view.untold_age_ms(self.now_ms, bound_ms) {
+        if let Some(known_ago_ms) = self.emptying.freshness.untold_age_ms(self.now_ms, bound_ms) {
             self.decided(Decision::OrdersUnread { known_ago_ms });
         }
     }
@@ -216,19 +218,19 @@
         there.peek().is_some() && there.all(|worker| worker.emptied)
     }
 
-    /// Notes a start on a worker.
-    pub(super) fn note_start_on(&mut self, key: WorkerKey) {
+    /// Records a start on a worker.
+    pub(super) fn record_start_on(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         self.worker_mut(key).started_ms = now_ms;
-        if !self.emptying.unused.is_empty() {
+        if !self.emptying.not_yet_used.is_empty() {
             let data_centre = self.worker(key).info.data_centre.clone();
-            self.note_used(&data_centre);
+            self.report_data_centre_used(&data_centre);
         }
     }
 
-    /// Tells of the first start in a data centre that was given back.
-    fn note_used(&mut self, data_centre: &str) {
-        if let Some(since_ms) = self.emptying.unused.remove(data_centre) {
+    /// Reports the first start in a data centre after its order was withdrawn.
+    fn report_data_centre_used(&mut self, data_centre: &str) {
+        if let Some(since_ms) = self.emptying.not_yet_used.remove(data_centre) {
             let after_ms = self.now_ms.saturating_sub(since_ms);
             let data_centre: Arc<str> = data_centre.into();
             self.decided(Decision::DataCentreUsed {
--- a/src/scheduler/headroom.rs
+++ b/src/scheduler/headroom.rs
@@ -1,11 +1,10 @@
-//! Headroom: capacity that non-urgent work leaves free for urgent work to come.
+//! Computes the headroom: capacity that non-urgent work leaves free for urgent work.
 //!
-//! Load pattern: urgent jobs come in bursts and have about a second to spare. Where
-//! a stop takes most of that second, room that has to be taken back from patient
-//! work comes too late, and what was stopped is thrown away. So patient work leaves
-//! as much free as urgent work has lately been using beyond what it uses now.
-//! Limits: patient work may always use the larger part of the fleet, and work that
-//! has to run all the time is not held back.
+//! Load pattern: urgent jobs come in bursts and have about a second of slack. Where a
+//! stop takes most of that second, capacity that is preempted from non-urgent work comes
+//! too late, and the preempted work is lost. So non-urgent work leaves as much free as
+//! urgent work has lately used beyond what it uses now. Limits: non-urgent work may
+//! always use the larger part of the fleet, and long-running work is not limited.
 
 use super::ordering::OrderingPolicy;
 use super::state::Scheduler;
@@ -15,17 +14,17 @@
     Worker, //
 };
 
-/// The use of the last seconds counts: a few run times of urgent work.
+/// Time constant of the moving average of urgent use: a few run times of urgent work.
 const MEMORY_MS: f64 = 8_000.0;
-/// Deviations above the mean use that are kept free: peaks are rarely higher.
-const DEVIATIONS: f64 = 3.0;
-/// Most of the fleet's accelerators that are kept free.
-const MOST_SHARE: f64 = 0.35;
-/// While less of the fleet is in use than this, nothing is held back: nobody may
-/// wait for seconds beside a fleet of which half is idle.
-const LEAST_USED: f64 = 0.6;
+/// Standard deviations above the mean use that are kept free: peaks are rarely higher.
+const PEAK_DEVIATIONS: f64 = 3.0;
+/// Maximum share of the fleet's accelerators that is kept free.
+const MAX_SHARE: f64 = 0.35;
+/// While a smaller share of the fleet is in use than this, no headroom is kept: no work
+/// may wait for seconds while half of the fleet is idle.
+const MIN_UTILIZATION: f64 = 0.6;
 
-/// Accelerators that urgent work uses or waits for, as seen of late.
+/// Moving mean and variance of the accelerators that urgent work uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     mean: f64,
@@ -34,8 +33,8 @@
 }
 
 impl Demand {
-    /// Takes in the use at `now_ms`; it is taken to have lasted since the last.
-    pub fn note(&mut self, now_ms: u64, used: f64) {
+    /// Adds the use at `now_ms`, which is assumed for the whole time since the last call.
+    pub fn observe(&mut self, now_ms: u64, used: f64) {
         let since_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.at_ms = now_ms;
         let weight = 1.0 - (-since_ms / MEMORY_MS).exp();
@@ -44,45 +43,46 @@
         self.variance = (1.0 - weight) * (self.variance + weight * off * off);
     }
 
-    /// Accelerators to keep free beside what is used now, of a fleet so large.
+    /// Returns the accelerators to keep free beside the `used` ones, in a fleet of `fleet`.
     pub fn headroom(&self, used: f64, fleet: f64) -> f64 {
-        let peak = self.mean + DEVIATIONS * self.variance.sqrt();
-        (peak - used).clamp(0.0, MOST_SHARE * fleet)
+        let peak = self.mean + PEAK_DEVIATIONS * self.variance.sqrt();
+        (peak - used).clamp(0.0, MAX_SHARE * fleet)
     }
 }
 
 /// Accelerators that non-urgent work may still take in a pass.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NonUrgentCapacity {
-    /// What is free beside the headroom and what waiting gangs need.
+    /// Free accelerators, less those left to waiting gangs; includes the headroom.
     free: u32,
     headroom: u32,
-    /// What it may take in any case.
-    in_any_case: u32,
+    /// Accelerators that non-urgent work may take whatever the headroom.
+    minimum: u32,
 }
 
 impl NonUrgentCapacity {
-    /// How many tasks of so many accelerators it holds.
+    /// Returns how many tasks of `accelerators` each may start. Work with a smaller
+    /// `slack_fraction` leaves less of the headroom free.
     pub fn tasks(&self, accelerators: u32, slack_fraction: f64) -> u32 {
         let headroom = (f64::from(self.headroom) * slack_fraction) as u32;
-        let room = self.free.saturating_sub(headroom).max(self.in_any_case);
-        room.checked_div(accelerators).unwrap_or(u32::MAX)
+        let usable = self.free.saturating_sub(headroom).max(self.minimum);
+        usable.checked_div(accelerators).unwrap_or(u32::MAX)
     }
 
-    /// Work of so many accelerators started.
+    /// Subtracts the accelerators of tasks that started.
     pub fn take(&mut self, accelerators: u32) {
-        self.leave(accelerators);
-        self.in_any_case = self.in_any_case.saturating_sub(accelerators);
+        self.reserve(accelerators);
+        self.minimum = self.minimum.saturating_sub(accelerators);
     }
 
-    /// A gang of so many accelerators waits: what comes after it leaves them.
-    pub fn leave(&mut self, accelerators: u32) {
+    /// Subtracts the accelerators of a waiting gang, so that later groups leave them free.
+    pub fn reserve(&mut self, accelerators: u32) {
         self.free = self.free.saturating_sub(accelerators);
     }
 }
 
 impl Scheduler {
-    /// The capacity that non-urgent work may take in this pass.
+    /// Returns the capacity that non-urgent work may take in this pass.
     pub(super) fn non_urgent_capacity(&mut self) -> NonUrgentCapacity {
         let now_ms = self.now_ms;
         let (mut free, mut fleet, mut urgent) = (0, 0, 0);
@@ -95,13 +95,13 @@
             urgent += urgent_accelerators(worker);
         }
         let urgent = f64::from(urgent);
-        self.demand.note(now_ms, urgent);
+        self.demand.observe(now_ms, urgent);
         let headroom = self.demand.headroom(urgent, f64::from(fleet)) as u32;
         let used = fleet.saturating_sub(free);
         NonUrgentCapacity {
             free,
             headroom,
-            in_any_case: ((f64::from(fleet) * LEAST_USED) as u32).saturating_sub(used),
+            minimum: ((f64::from(fleet) * MIN_UTILIZATION) as u32).saturating_sub(used),
         }
     }
 
@@ -114,12 +114,12 @@
     }
 }
 
-/// Accelerators that urgent work uses on a worker.
+/// Returns the accelerators that urgent work uses on a worker.
 fn urgent_accelerators(worker: &Worker) -> u32 {
     let runs = worker.runs.values();
     let urgent = runs.filter(|run| {
-        let on = matches!(run.phase, RunPhase::Starting | RunPhase::Running);
-        on && run.priority == 0 && !run.long_running
+        let active = matches!(run.phase, RunPhase::Starting | RunPhase::Running);
+        active && run.priority == 0 && !run.long_running
     });
     urgent.map(|run| run.resources.accelerators).sum()
 }
--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -1,10 +1,10 @@
-//! In which order waiting work is offered room.
+//! Determines the order in which waiting groups are offered capacity.
 //!
-//! Load pattern: far more work is asked for than the fleet can do, in classes
-//! whose jobs differ a hundredfold in size, with bursts of urgent ones. What is
-//! served on time earns its worth, what is late a part of it, so room goes
-//! first to what earns most for the room and time that it still takes. Limits:
-//! work that can no longer earn anything comes last, but comes.
+//! Load pattern: far more work is submitted than the fleet can do, in classes whose jobs
+//! differ a hundredfold in size, with bursts of urgent jobs. A job on time has its full
+//! utility and a late job a part of it, so capacity goes first to the job with the most
+//! utility per unit of the work that it still takes. Limits: jobs that are too late to
+//! have any utility come last, but still run.
 
 use super::job::utility_ratio;
 use super::state::Scheduler;
@@ -18,16 +18,16 @@
     HashSet, //
 };
 
-/// Utility of a job by the priority of its queue; the configuration does not
-/// tell it, and the order of priorities is what operators do tell.
+/// Utility of a job by the priority of its queue. The configuration does not contain
+/// utilities; it only orders queues by priority.
 const UTILITY_BY_PRIORITY: [f64; 3] = [4.0, 3.0, 1.0];
 /// Utility of a job of any lower priority.
 const LEAST_UTILITY: f64 = 0.5;
-/// Part of its worth that late work earns, about as far as operators say.
+/// Part of its utility that a late job has: about what operators state.
 pub(super) const LATE_PART: f64 = 0.25;
-/// Work that earns nothing any more still has an order.
-const HOPELESS_PART: f64 = 0.005;
-/// Late work earns up to this many times the objective.
+/// Part of the utility by which jobs are ordered that are too late to have any.
+const TOO_LATE_PART: f64 = 0.005;
+/// A late job has utility until this many times the length of its objective.
 const LATE_FACTOR: u64 = 3;
 
 /// The policy that orders waiting work within a tier.
@@ -42,10 +42,11 @@
     ShortestFirst,
 }
 
-/// Which work is offered room first, whatever it earns.
+/// Tiers of work: a tier is offered capacity before all tiers after it, whatever the
+/// utility.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Tier {
-    /// Work that has to run all the time.
+    /// Long-running work.
     LongRunning,
     /// Urgent work within its account's guarantee.
     Guaranteed,
@@ -53,20 +54,20 @@
     Other,
 }
 
-/// The deadline of a job and how much it is worth before and after.
+/// The deadline of a job, from which its utility over time follows.
 #[derive(Clone, Copy, Debug)]
 pub struct JobObjective {
-    /// From then on it is late.
+    /// Time from which the job is late.
     pub objective_ms: u64,
     /// Length of its objective.
     pub objective_length_ms: u64,
-    /// How far off its end may be from what is expected.
+    /// How far its end may be from the expected end, in milliseconds.
     pub spread_ms: f64,
 }
 
 impl JobObjective {
-    /// The part of its worth that a job earns if it is expected to end then: the
-    /// chance of being on time, and a part for being late.
+    /// Returns the part of its utility that a job expected to end at `end_ms` has on
+    /// average, from 0 to 1, given the chances of being on time, late and too late.
     pub fn part_at(&self, end_ms: u64) -> f64 {
         let last_ms = self.objective_ms + (LATE_FACTOR - 1) * self.objective_length_ms;
         let on_time = self.chance(end_ms, self.objective_ms);
@@ -74,8 +75,8 @@
         on_time * (1.0 - LATE_PART) + not_over * LATE_PART
     }
 
-    /// The part of its slack that a job that takes so long has left, from 1 to 0 at the
-    /// last moment at which it can begin without losing utility.
+    /// Returns how much slack a job with a run time of `run_ms` has left, from 1 down to
+    /// 0 at the last moment at which it can begin without losing utility.
     pub fn slack_fraction(&self, now_ms: u64, run_ms: u64) -> f64 {
         let last_ms = self.objective_ms + (LATE_FACTOR - 1) * self.objective_length_ms;
         let end_ms = now_ms + run_ms;
@@ -88,31 +89,32 @@
         (slack_ms / (0.5 * self.objective_length_ms.max(1) as f64)).min(1.0)
     }
 
+    /// Chance that a job expected to end at `end_ms` ends by `by_ms`.
     fn chance(&self, end_ms: u64, by_ms: u64) -> f64 {
         let slack_ms = by_ms as f64 - end_ms as f64;
         (0.5 + slack_ms / (2.0 * self.spread_ms.max(1.0))).clamp(0.0, 1.0)
     }
 }
 
-/// The utility that a job may still have, and the work that it still takes.
+/// The utility that a job may still have and the work that it still takes.
 #[derive(Clone, Copy, Debug)]
 pub struct UtilityEstimate {
     /// Utility of a job of its queue.
     pub utility: f64,
-    /// The job's work against its queue's mean.
+    /// Factor by which the job's utility exceeds that of its queue's mean job.
     pub utility_ratio: f64,
     /// Work left, in thousandths of a core times milliseconds.
     pub work_left: f64,
-    /// Time that it takes from now, if it starts now.
+    /// Run time left if the job starts now.
     pub chain_left_ms: u64,
-    /// When it is late.
+    /// Time from which the job is late.
     pub objective_ms: u64,
     /// Length of its objective.
     pub objective_length_ms: u64,
 }
 
 impl UtilityEstimate {
-    /// What it earns for each unit of work, if it starts at `now_ms`.
+    /// Returns the utility per unit of work left if the job starts at `now_ms`.
     pub fn density(&self, now_ms: u64) -> f64 {
         let end_ms = now_ms + self.chain_left_ms;
         let last_ms = self.objective_ms + (LATE_FACTOR - 1) * self.objective_length_ms;
@@ -121,32 +123,32 @@
         } else if end_ms <= last_ms {
             LATE_PART
         } else {
-            HOPELESS_PART
+            TOO_LATE_PART
         };
         self.utility * self.utility_ratio * part / self.work_left.max(1.0)
     }
 }
 
-/// A group that waits for room, with its place in the order.
+/// A group that waits for capacity, with its place in the order.
 #[derive(Clone, Copy, Debug)]
 pub struct Ranked {
     /// The group.
     pub key: GroupKey,
     /// Its tier.
     pub tier: Tier,
-    /// Its place within the tier: what it earns for each unit of work, or what
-    /// another rule orders by.
+    /// Orders groups within a tier, the highest first: the utility per unit of work, or
+    /// the key of another [`OrderingPolicy`].
     pub density: f64,
 }
 
-/// Utility of a job by the priority of its queue.
+/// Returns the utility of a job by the priority of its queue.
 pub fn utility_of_priority(priority: u32) -> f64 {
     let known = UTILITY_BY_PRIORITY.get(priority as usize);
     known.copied().unwrap_or(LEAST_UTILITY)
 }
 
 impl Scheduler {
-    /// The groups that wait for room, first the one to be offered it first.
+    /// Returns the groups that wait for capacity, in the order in which it is offered.
     pub(super) fn ranked(&mut self) -> Vec<Ranked> {
         self.guaranteed = self.guaranteed_jobs();
         let mut ranked: Vec<Ranked> = self
@@ -170,8 +172,8 @@
             * utility_ratio(job.work, self.mean_work(&job.record.queue))
     }
 
-    /// Mean utility of the fleet's work for each thousandth of a core and millisecond,
-    /// by the jobs seen so far.
+    /// Mean utility of the jobs seen so far per unit of work, a thousandth of a core for
+    /// a millisecond.
     pub(super) fn mean_utility_of_work(&self) -> f64 {
         let (mut utility, mut work) = (0.0, 0.0);
         for (name, history) in &self.history {
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Urgent jobs of accounts whose urgent jobs together need no more than
-    /// their guarantee.
+    /// Urgent jobs of the accounts whose urgent jobs together need no more accelerators
+    /// than the account is guaranteed.
     fn guaranteed_jobs(&self) -> HashSet<JobId> {
         let mut needs: HashMap<&str, u32> = HashMap::new();
         let open = || {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,104 +1,112 @@
-//! Choosing workers for like tasks: pure, over a view of the room left.
+//! Chooses workers for the similar tasks of a group, without side effects, from the free
+//! resources of the candidates.
 //!
-//! Load pattern: tasks of 1, 2, 4 and 8 accelerators share workers of 8, and a
-//! few large gangs wait behind a stream of small tasks. Each task goes where it
-//! leaves the least room behind (best fit), so whole workers stay whole. Tasks
-//! with data on a rack, and gangs that want one rack, take several times as
-//! long elsewhere, so they leave their rack only when the caller says so.
+//! Load pattern: tasks of 1, 2, 4 and 8 accelerators share workers of 8, and a few large
+//! gangs wait behind a stream of small tasks. Each task goes where it leaves the fewest
+//! accelerators free (best fit), so that empty workers stay empty for gangs. Tasks with
+//! data on a rack, and gangs that request one rack, take several times as long
+//! elsewhere, so they leave the rack only when the request allows it.
 
 use super::Resources;
 use crate::core::WorkerKey;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Costs of a place, in accelerators left over beside it; each is larger than
-/// any sum of those after it.
+// The cost of placing a task on a candidate is the number of accelerators left free
+// beside the task, plus the terms below. Each of the larger terms outweighs all the
+// smaller ones together.
+
+/// A worker on which the task failed or hung before.
 const AVOIDED_COST: f64 = 500.0;
+/// Tasks that fill and tasks that serve on one worker.
 const CONFLICT_COST: f64 = 200.0;
-/// A worker that may take a task with it that was lost already.
-const UNSTEADY_COST: f64 = 10_000.0;
-/// Each run that would be lost with a worker that its next task may crash.
+/// A worker that crashed lately in an earlier incarnation, for a group of which a task
+/// was lost in a crash before.
+const CRASH_PRONE_COST: f64 = 10_000.0;
+/// Each run that would be lost if the task, which is on trial, crashed the worker.
 const LOST_RUN_COST: f64 = 1_000.0;
-/// For work in a hurry: a worker that takes half as long again is worth leaving
-/// six accelerators beside the task.
+/// Slowness of a worker, for work with little slack: a worker on which the task takes
+/// half as long again costs as much as six accelerators left free.
 const SLOWNESS_COST: f64 = 12.0;
-/// Work with this many times its run time left is on time on any usual worker,
-/// and leaves the fast ones to work in a hurry.
-const RELAXED: f64 = 2.0;
-/// Small tasks fill racks that are taken already, for gangs that want one rack.
+/// Work with at least this many times its run time left is on time on any usual worker,
+/// and leaves the fast workers to work with less slack.
+const RELAXED_SLACK_RATIO: f64 = 2.0;
+/// Each accelerator free on the rack: small tasks go to racks that are in use already,
+/// and leave empty racks to gangs that request one rack.
 const RACK_COST: f64 = 0.05;
-/// Room of cores left over breaks ties.
+/// Each thousandth of a core left free, to break ties.
 const CORE_COST: f64 = 0.00001;
 
-/// A worker on which tasks may be placed, with the room that this pass has left.
+/// A worker on which tasks may be placed, with the resources that this pass has left.
 #[derive(Clone, Debug)]
 pub struct CandidateWorker {
     /// The worker.
     pub worker: WorkerKey,
-    /// The room left.
+    /// The free resources.
     pub free: Resources,
     /// Its rack.
     pub rack: Arc<str>,
-    /// Run times there against the estimates.
+    /// Factor by which run times there exceed those on a usual worker.
     pub slowness: f64,
-    /// Tasks that serve are there.
+    /// Whether it has tasks that serve.
     pub serves: bool,
-    /// Tasks that fill are there.
+    /// Whether it has tasks that fill.
     pub fills: bool,
-    /// Runs there.
+    /// Number of runs on it.
     pub runs: u32,
     /// Accelerators free on its rack.
     pub rack_free: u32,
-    /// Capacity reserved for gangs that wait.
+    /// Capacity reserved for waiting gangs.
     pub reserved: Resources,
-    /// From when on the reserved capacity is used; 0 for none reserved.
+    /// Time from which the reserved capacity is needed; 0 if none is reserved.
     pub reserved_from_ms: u64,
 }
 
-/// A request to place a number of like tasks.
+/// A request to place the similar tasks of a group.
 pub struct PlacementRequest<'a> {
-    /// The resources that each takes.
+    /// The resources that each task takes.
     pub resources: Resources,
-    /// How many.
+    /// Number of tasks.
     pub count: u32,
-    /// When they end, if they start now.
+    /// When the tasks end if they start now.
     pub end_ms: u64,
-    /// Time that is left to be on time, in run times on a usual worker.
-    pub tolerance: f64,
-    /// All or none.
+    /// Time left until the tasks are late, in run times on a usual worker.
+    pub slack_ratio: f64,
+    /// Whether all tasks are placed or none.
     pub gang: bool,
-    /// On one rack, if possible.
+    /// Whether the tasks should be on one rack.
     pub one_rack: bool,
     /// The rack of the data; empty for none.
     pub data_rack: &'a str,
-    /// They may go where they take longer.
+    /// Whether the tasks may leave the rack, where they take longer.
     pub may_leave_rack: bool,
-    /// They fill.
+    /// Whether the tasks fill: they take what other tasks on the worker leave unused.
     pub fills: bool,
-    /// They serve.
+    /// Whether the tasks serve users under a target for their response times.
     pub serves: bool,
-    /// They may crash their workers.
+    /// Whether the tasks are suspected of crashing their workers.
     pub on_trial: bool,
-    /// Whether a worker may crash by itself, and they were lost with one before.
-    pub unsteady: &'a dyn Fn(WorkerKey) -> bool,
-    /// Workers on which they failed.
+    /// Whether the group lost a task in a crash before and this worker crashed lately in
+    /// an earlier incarnation.
+    pub crash_prone: &'a dyn Fn(WorkerKey) -> bool,
+    /// Workers on which the tasks failed or hung.
     pub avoid: &'a [WorkerKey],
-    /// How many a worker may take, its room aside.
+    /// The number of tasks that a worker may take, apart from its free resources.
     pub allowed: &'a dyn Fn(WorkerKey) -> u32,
 }
 
-/// How many tasks go to one candidate.
+/// The number of tasks placed on one candidate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Placement {
     /// Index in the list of candidates.
     pub candidate: usize,
-    /// Tasks.
+    /// Number of tasks.
     pub count: u32,
 }
 
 impl PlacementRequest<'_> {
-    /// How many tasks a candidate takes: room that is kept for others only if they
-    /// end before it is used.
+    /// Returns how many of the tasks fit on a candidate. Reserved capacity counts only
+    /// if the tasks end before it is needed.
     pub fn fit(&self, candidate: &CandidateWorker) -> u32 {
         let free = match candidate.reserved_from_ms {
             0 => candidate.free,
@@ -112,8 +120,9 @@
         fit.min((self.allowed)(candidate.worker))
     }
 
+    /// Cost of a worker's slowness. Work with enough slack prefers slow workers.
     fn slowness_cost(&self, slowness: f64) -> f64 {
-        let relaxed = self.tolerance >= RELAXED && slowness < self.tolerance;
+        let relaxed = self.slack_ratio >= RELAXED_SLACK_RATIO && slowness < self.slack_ratio;
         let sign = if relaxed { -1.0 } else { 1.0 };
         sign * SLOWNESS_COST * (slowness - 1.0)
     }
@@ -123,8 +132,8 @@
         let mut cost = f64::from(left.accelerators) + f64::from(left.cpu_millis) * CORE_COST;
         cost += RACK_COST * f64::from(candidate.rack_free);
         cost += self.slowness_cost(candidate.slowness);
-        if (self.unsteady)(candidate.worker) {
-            cost += UNSTEADY_COST;
+        if (self.crash_prone)(candidate.worker) {
+            cost += CRASH_PRONE_COST;
         }
         if self.on_trial {
             cost += LOST_RUN_COST * f64::from(candidate.runs);
@@ -139,12 +148,12 @@
     }
 }
 
-/// Places tasks; a gang whole or not at all, others as far as there is room.
+/// Places a gang whole or not at all, and as many as fit of the tasks of other groups.
 pub fn place(candidates: &[CandidateWorker], request: &PlacementRequest<'_>) -> Vec<Placement> {
     let all: Vec<usize> = (0..candidates.len()).collect();
     if !request.data_rack.is_empty() {
-        let near: Vec<usize> = on_rack(candidates, &all, request.data_rack);
-        let placements = fill(candidates, &near, request, request.count);
+        let local: Vec<usize> = on_rack(candidates, &all, request.data_rack);
+        let placements = fill(candidates, &local, request, request.count);
         let placed = total(&placements);
         if placed == request.count || (!request.may_leave_rack && !request.gang) {
             return placements;
@@ -153,9 +162,9 @@
             return Vec::new();
         }
         if !request.gang {
-            let far: Vec<usize> = all.into_iter().filter(|at| !near.contains(at)).collect();
+            let remote: Vec<usize> = all.into_iter().filter(|at| !local.contains(at)).collect();
             let mut placements = placements;
-            placements.extend(fill(candidates, &far, request, request.count - placed));
+            placements.extend(fill(candidates, &remote, request, request.count - placed));
             return placements;
         }
     }
@@ -179,11 +188,12 @@
 }
 
 fn on_rack(candidates: &[CandidateWorker], all: &[usize], rack: &str) -> Vec<usize> {
-    let there = |at: &usize| &*candidates[*at].rack == rack;
-    all.iter().copied().filter(there).collect()
+    let is_on_rack = |at: &usize| &*candidates[*at].rack == rack;
+    all.iter().copied().filter(is_on_rack).collect()
 }
 
-/// The rack that keeps the fewest accelerators free beside the gang.
+/// Places all tasks on the rack with the lowest cost: its free accelerators and the
+/// slowness of the slowest worker chosen. Returns `None` if they fit on no rack.
 fn place_on_one_rack(
     candidates: &[CandidateWorker],
     request: &PlacementRequest<'_>,
@@ -193,12 +203,12 @@
         racks.entry(&candidate.rack).or_default().push(at);
     }
     let mut best: Option<(f64, Vec<Placement>)> = None;
-    for there in racks.into_values() {
-        let placements = fill(candidates, &there, request, request.count);
+    for members in racks.into_values() {
+        let placements = fill(candidates, &members, request, request.count);
         if total(&placements) < request.count {
             continue;
         }
-        let free: u32 = there
+        let free: u32 = members
             .iter()
             .map(|&at| candidates[at].free.accelerators)
             .sum();
@@ -214,7 +224,8 @@
     best.map(|(_, placements)| placements)
 }
 
-/// Takes the cheapest candidates first, each as far as it goes.
+/// Places up to `count` tasks on the candidates `among`, the cheapest first, each with as
+/// many tasks as fit.
 fn fill(
     candidates: &[CandidateWorker],
     among: &[usize],
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,15 +1,15 @@
-//! Taking room back for urgent work.
+//! Preempts runs of other jobs to free resources for urgent work.
 //!
-//! Load pattern: an account's guaranteed accelerators are lent to other work,
-//! and a burst of its urgent jobs asks for them back within a few seconds,
-//! stops included. The victims are chosen in the pass in which the job is
-//! offered room: those with which the least is lost, until the whole job fits.
-//! What is lost is reckoned in worth: the work that is thrown away, at what the
-//! fleet's work earns on average, and what the victim's job earns less for being
-//! late. Work beyond its guarantee takes room back only where it is on time for
-//! it and earns more by that than is lost. Limits: work that lasts is never
-//! taken, room that is being freed, or soon is, is waited for first, and a group
-//! asks again only after its victims had time to stop.
+//! Load pattern: an account's guaranteed accelerators are lent to other work, and a burst
+//! of its urgent jobs needs them back within a few seconds, the time to stop the victims
+//! included. The victims are chosen in the pass in which the group finds no free
+//! capacity: those with the least loss, until all its waiting tasks fit. The loss is
+//! counted in utility: the work thrown away, at the mean utility of the fleet's work,
+//! and the utility that the victim's job loses by ending later. Urgent work beyond its
+//! account's guarantee preempts only if it is then on time and gains more utility than
+//! is lost. Limits: long-running work is never preempted, resources that are being freed
+//! or soon will be are used first, and a group preempts again only after its victims
+//! have had time to stop.
 
 use super::action::StopReason;
 use super::ordering::{
@@ -37,13 +37,13 @@
     HashSet, //
 };
 
-/// Time that stopped work waits for room again.
-const REQUEUED_MS: u64 = 2_000;
+/// Time that a preempted task is assumed to wait until it starts again.
+const REQUEUE_WAIT_MS: u64 = 2_000;
 
-/// A run that may be stopped for others.
+/// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
-    /// Worth that is lost with it, its whole gang included.
+    /// Utility that is lost if it stops, its whole gang included.
     loss: f64,
     name: RunName,
     resources: Resources,
@@ -52,19 +52,19 @@
 }
 
 impl Victim {
-    fn price(&self) -> f64 {
+    fn loss_per_accelerator(&self) -> f64 {
         self.loss / f64::from(self.resources.accelerators.max(1))
     }
 }
 
-/// What it takes to place one more task on a candidate.
+/// The victims that have to stop to place one more task on a candidate.
 #[derive(Clone, Debug, Default)]
 struct Slot {
     loss: f64,
     victims: Vec<Victim>,
 }
 
-/// A slot that was chosen.
+/// A slot chosen for a task, with its candidate.
 #[derive(Clone, Debug)]
 struct Choice {
     candidate: usize,
@@ -72,21 +72,25 @@
     slot: Slot,
 }
 
-/// The room of a candidate as more and more of its runs are taken away.
+/// The runs of a candidate that may still be preempted, as slots are taken from it one by
+/// one.
 struct ReclaimableRuns {
     candidate: usize,
     worker: WorkerKey,
+    /// Resources free after the slots taken so far.
     free: Resources,
+    /// Resources that a task takes.
     resources: Resources,
-    left: u32,
-    /// The one that costs least for the accelerators it gives comes first.
+    /// Number of tasks that the candidate may still take.
+    slots_left: u32,
+    /// Possible victims, the least loss per accelerator first.
     victims: Vec<Victim>,
 }
 
 impl ReclaimableRuns {
-    /// The cheapest victims until one more task fits.
-    fn next(&self) -> Option<Slot> {
-        if self.left == 0 {
+    /// Returns the next slot, with the cheapest victims that make one more task fit.
+    fn next_slot(&self) -> Option<Slot> {
+        if self.slots_left == 0 {
             return None;
         }
         let mut slot = Slot::default();
@@ -97,7 +101,7 @@
             free = free.plus(&victim.resources);
             slot.victims.push(*victim);
         }
-        // Small ones that were taken first may be needless beside a large one.
+        // Small victims chosen first may be unnecessary once a large one is chosen.
         for at in (0..slot.victims.len()).rev() {
             let without = free.minus(&slot.victims[at].resources);
             if without.holds(&self.resources) {
@@ -109,17 +113,19 @@
         Some(slot)
     }
 
-    fn take(&mut self, slot: &Slot) {
+    /// Frees the resources of a slot's victims and takes those of one task.
+    fn take_slot(&mut self, slot: &Slot) {
         for victim in &slot.victims {
             self.free = self.free.plus(&victim.resources);
             self.victims.retain(|other| other.name != victim.name);
         }
         self.free = self.free.minus(&self.resources);
-        self.left -= 1;
+        self.slots_left -= 1;
     }
 
-    /// A gang ends in any case: its members here cost nothing more.
-    fn end_gang(&mut self, gang: GroupKey) -> bool {
+    /// Sets the loss of a gang's members here to 0, because the gang ends anyway. Returns
+    /// whether there are any.
+    fn mark_gang_ended(&mut self, gang: GroupKey) -> bool {
         let members = self.victims.iter_mut();
         let mut any = false;
         for member in members.filter(|victim| victim.gang == Some(gang)) {
@@ -133,14 +139,18 @@
     }
 
     fn sort(&mut self) {
-        self.victims
-            .sort_by(|a, b| a.price().total_cmp(&b.price()).then(a.name.cmp(&b.name)));
+        self.victims.sort_by(|a, b| {
+            a.loss_per_accelerator()
+                .total_cmp(&b.loss_per_accelerator())
+                .then(a.name.cmp(&b.name))
+        });
     }
 }
 
 impl Scheduler {
-    /// Frees room for the waiting tasks of an urgent group, and keeps it from
-    /// later groups of this pass; whether there is any.
+    /// Preempts runs for the waiting tasks of an urgent group, and subtracts the freed
+    /// resources from the candidates so that later groups of this pass do not take them.
+    /// Returns whether resources are being freed for the group.
     pub(super) fn preempt_for(
         &mut self,
         ranked: Ranked,
@@ -148,10 +158,10 @@
         candidates: &mut [CandidateWorker],
     ) -> bool {
         if self.now_ms < self.groups[&ranked.key].preempt_at_ms {
-            self.keep_claims(ranked.key, candidates);
+            self.reserve_claims(ranked.key, candidates);
             return true;
         }
-        let Some(chosen) = self.worth_taking(ranked, queue, candidates) else {
+        let Some(chosen) = self.choose_slots(ranked, queue, candidates) else {
             return false;
         };
         let resources = self.groups[&ranked.key].resources;
@@ -179,7 +189,7 @@
             if let Some(group) = self.groups.get_mut(&GroupKey::of(name.task)) {
                 group.preempted += 1;
             }
-            // A gang of which one member stops cannot go on.
+            // A gang cannot go on once one member stops.
             let key = GroupKey::of(name.task);
             if self
                 .groups
@@ -192,9 +202,9 @@
         true
     }
 
-    /// The slots to take, if that earns more than is lost. Guaranteed work takes what
-    /// it needs in any case.
-    fn worth_taking(
+    /// Returns the cheapest slots for a group, or `None` if there are none or the group
+    /// does not gain more utility than is lost. Guaranteed work takes them in any case.
+    fn choose_slots(
         &self,
         ranked: Ranked,
         queue: &QueueTerms,
@@ -203,20 +213,20 @@
         let group = &self.groups[&ranked.key];
         let count = group.waiting as usize;
         let chosen = self.with_request(group, queue, &[], |request| {
-            self.cheapest(ranked, request, candidates, count)
+            self.cheapest_slots(ranked, request, candidates, count)
         })?;
         let slots = chosen.iter().map(|choice| choice.candidate);
         let slowest = slots.map(|at| candidates[at].slowness).fold(0.0, f64::max);
         let run_ms = (group.run_time.value() * slowest) as u64;
         let end_ms = self.now_ms + self.tuning.stop_ms + run_ms;
         let part = group.objective().part_at(end_ms) - LATE_PART;
-        let net = self.utility_of_job(ranked.key.job) * part - loss_of(&chosen);
+        let net = self.utility_of_job(ranked.key.job) * part - total_loss(&chosen);
         (net > 0.0 || ranked.tier == Tier::Guaranteed).then_some(chosen)
     }
 
-    /// Keeps what is being freed for a group from the groups after it: its
-    /// victims would take the freed room back, and be stopped again.
-    fn keep_claims(&self, key: GroupKey, candidates: &mut [CandidateWorker]) {
+    /// Subtracts the resources that are being freed for a group from the candidates.
+    /// Otherwise the preempted tasks would start there again and be preempted again.
+    fn reserve_claims(&self, key: GroupKey, candidates: &mut [CandidateWorker]) {
         let group = &self.groups[&key];
         for &(worker, count) in &group.claims {
             for candidate in candidates
@@ -230,9 +240,9 @@
         }
     }
 
-    /// The cheapest slots for `count` tasks; on one rack where that is asked for and
-    /// possible.
-    fn cheapest(
+    /// Returns the cheapest slots for `count` tasks, on one rack if the request asks for
+    /// that and they exist.
+    fn cheapest_slots(
         &self,
         ranked: Ranked,
         request: &PlacementRequest<'_>,
@@ -256,15 +266,17 @@
         }
         let on_racks = regions
             .iter()
-            .filter_map(|region| self.slots(ranked, request, candidates, region, count))
-            .min_by(|a, b| loss_of(a).total_cmp(&loss_of(b)));
-        // Room elsewhere is of use only to work that may leave its rack.
+            .filter_map(|region| self.slots_in(ranked, request, candidates, region, count))
+            .min_by(|a, b| total_loss(a).total_cmp(&total_loss(b)));
+        // Only work that may leave its rack can use slots elsewhere.
         let anywhere = regions.is_empty() || request.may_leave_rack;
-        on_racks
-            .or_else(|| anywhere.then(|| self.slots(ranked, request, candidates, &all, count))?)
+        on_racks.or_else(|| {
+            anywhere.then(|| self.slots_in(ranked, request, candidates, &all, count))?
+        })
     }
 
-    fn slots(
+    /// Returns the cheapest slots for `count` tasks on the candidates of a region.
+    fn slots_in(
         &self,
         ranked: Ranked,
         request: &PlacementRequest<'_>,
@@ -276,27 +288,28 @@
             .iter()
             .map(|&at| self.reclaimable(ranked, request, candidates, at))
             .collect();
-        let mut next: Vec<Option<Slot>> = reclaimable.iter().map(ReclaimableRuns::next).collect();
+        let mut next_slots: Vec<Option<Slot>> =
+            reclaimable.iter().map(ReclaimableRuns::next_slot).collect();
         let mut chosen = Vec::with_capacity(count);
-        let mut ended: HashSet<GroupKey> = HashSet::new();
+        let mut ended_gangs: HashSet<GroupKey> = HashSet::new();
         while chosen.len() < count {
-            let losses = next.iter().enumerate();
+            let losses = next_slots.iter().enumerate();
             let (at, _) = losses
                 .filter_map(|(at, slot)| slot.as_ref().map(|slot| (at, slot.loss)))
                 .min_by(|a, b| a.1.total_cmp(&b.1))?;
-            let slot = next[at].take()?;
-            reclaimable[at].take(&slot);
+            let slot = next_slots[at].take()?;
+            reclaimable[at].take_slot(&slot);
             for gang in slot.victims.iter().filter_map(|victim| victim.gang) {
-                if !ended.insert(gang) {
+                if !ended_gangs.insert(gang) {
                     continue;
                 }
                 for (other, reclaimable) in reclaimable.iter_mut().enumerate() {
-                    if reclaimable.end_gang(gang) {
-                        next[other] = reclaimable.next();
+                    if reclaimable.mark_gang_ended(gang) {
+                        next_slots[other] = reclaimable.next_slot();
                     }
                 }
             }
-            next[at] = reclaimable[at].next();
+            next_slots[at] = reclaimable[at].next_slot();
             chosen.push(Choice {
                 candidate: reclaimable[at].candidate,
                 worker: reclaimable[at].worker,
@@ -306,6 +319,7 @@
         Some(chosen)
     }
 
+    /// Returns the runs of the candidate at index `at` that may be preempted for a group.
     fn reclaimable(
         &self,
         ranked: Ranked,
@@ -316,9 +330,10 @@
         let candidate = &candidates[at];
         let worker = self.worker(candidate.worker);
         let soon_ms = self.now_ms + self.tuning.stop_ms;
-        // What ends by itself before a stop would have ended it is waited for, but
-        // once only: a run that takes longer than it should seems to end at once
-        // in each pass, and guaranteed work would wait for it beyond its promise.
+        // A run that ends by itself before a stop would end it is not preempted; its
+        // resources count as free. But the group waits for such runs only about as long as
+        // a stop takes: a run that exceeds its expected run time seems about to end in
+        // every pass, and guaranteed work would wait for it beyond its bound.
         let released_ms = self.groups[&ranked.key].released_ms;
         let waited = self.now_ms > released_ms + self.tuning.settle_ms();
         let ends_soon = |run: &Run| {
@@ -340,18 +355,18 @@
             worker: candidate.worker,
             free,
             resources: request.resources,
-            left: (request.allowed)(candidate.worker).min(request.count),
+            slots_left: (request.allowed)(candidate.worker).min(request.count),
             victims,
         };
         reclaimable.sort();
         reclaimable
     }
 
-    /// A run as a victim; `None` if it may not be taken.
+    /// Returns a run as a possible victim; `None` if it may not be preempted.
     fn victim(&self, ranked: Ranked, name: RunName, run: &Run) -> Option<Victim> {
-        let taken = matches!(run.phase, RunPhase::Starting | RunPhase::Running)
+        let stoppable = matches!(run.phase, RunPhase::Starting | RunPhase::Running)
             && !self.is_unreadable(name.task.job);
-        if !taken || run.long_running || ranked.key.job == name.task.job {
+        if !stoppable || run.long_running || ranked.key.job == name.task.job {
             return None;
         }
         let urgent = run.priority == 0;
@@ -363,7 +378,7 @@
         if urgent && group.is_none() {
             return None;
         }
-        // Its other members may not be known yet.
+        // The other members of a gang may not be known yet.
         if group.is_some_and(|group| group.step.gang && group.recovering) {
             return None;
         }
@@ -376,40 +391,40 @@
             _ => self.work_lost(run),
         };
         let loss =
-            loss * self.mean_utility_of_work() + group.map_or(0.0, |group| self.lateness(group));
-        let again = 1 + group.map_or(0, |group| group.preempted);
+            loss * self.mean_utility_of_work() + group.map_or(0.0, |group| self.delay_loss(group));
+        let preemptions = 1 + group.map_or(0, |group| group.preempted);
         Some(Victim {
-            loss: loss * f64::from(again),
+            loss: loss * f64::from(preemptions),
             name,
             resources: run.resources,
             gang: gang.map(|group| group.key),
         })
     }
 
-    /// Worth that a group's job loses by starting anew instead of going on; a
-    /// single task bears its part.
-    fn lateness(&self, group: &Group) -> f64 {
+    /// Utility that a group's job loses by the delay if a run of the group starts again
+    /// instead of going on. Outside gangs, each task accounts for an equal share.
+    fn delay_loss(&self, group: &Group) -> f64 {
         let left = self
             .members(group)
             .map(|(worker, _, run)| self.left_ms(worker, run));
         let end_ms = self.now_ms + left.max().unwrap_or(0);
-        let waits_ms = self.tuning.stop_ms + REQUEUED_MS;
-        let anew_ms = match group.step.checkpoints {
-            true => end_ms + waits_ms,
-            false => self.now_ms + waits_ms + group.run_ms(),
+        let requeue_ms = self.tuning.stop_ms + REQUEUE_WAIT_MS;
+        let restarted_end_ms = match group.step.checkpoints {
+            true => end_ms + requeue_ms,
+            false => self.now_ms + requeue_ms + group.run_ms(),
         };
-        let terms = group.objective();
+        let objective = group.objective();
         let share = match group.step.gang {
             true => 1.0,
             false => 1.0 / group.tasks.len() as f64,
         };
-        let lost = terms.part_at(end_ms) - terms.part_at(anew_ms);
+        let lost = objective.part_at(end_ms) - objective.part_at(restarted_end_ms);
         self.utility_of_job(group.key.job) * lost.max(0.0) * share
     }
 
     /// Work that is lost if a run is stopped now, in thousandths of a core times
-    /// milliseconds: what it did since it began, or what it takes to go on from a
-    /// checkpoint, which a stop makes; and its room while it stops.
+    /// milliseconds: the work since its start, or the cost of restoring the checkpoint
+    /// that a stop makes; plus the use of its resources while it stops.
     fn work_lost(&self, run: &Run) -> f64 {
         let group = self.groups.get(&run.group);
         let lost_ms = self.lost_ms(run, group) + self.tuning.stop_ms / 2;
@@ -428,7 +443,8 @@
         })
     }
 
-    /// Run time that is lost if a run is stopped now. A stop makes a checkpoint.
+    /// Run time that is lost if a run is stopped now. A task with checkpoints makes one
+    /// when it stops, so at most the time to restore it is lost.
     fn lost_ms(&self, run: &Run, group: Option<&Group>) -> u64 {
         let worked_ms = self.now_ms.saturating_sub(run.ordered_ms);
         match group.is_some_and(|group| group.step.checkpoints) {
@@ -438,6 +454,6 @@
     }
 }
 
-fn loss_of(slots: &[Choice]) -> f64 {
+fn total_loss(slots: &[Choice]) -> f64 {
     slots.iter().map(|choice| choice.slot.loss).sum()
 }
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -1,11 +1,11 @@
-//! Keeping room for gangs that wait for whole workers.
+//! Reserves capacity for gangs that wait for whole workers.
 //!
-//! Load pattern: a gang of several whole workers waits beside a stream of small
-//! tasks, which take each accelerator as it becomes free, so that the gang
-//! would wait for ever. The first gangs in the order get the workers that will
-//! have room for them soonest; until then only work that ends before that runs
-//! there (backfilling). Limits: few gangs at a time, since kept room idles, and
-//! none whose room lies too far ahead for the estimates to mean anything.
+//! Load pattern: a gang of several whole workers waits beside a stream of small tasks,
+//! which take each accelerator as it becomes free, so that the gang would wait for ever.
+//! The first gangs in the order reserve the workers that will have capacity for them
+//! soonest; until then only work that ends before that time runs there (backfilling).
+//! Limits: only a few gangs reserve at a time, since reserved capacity stands idle, and
+//! none whose capacity is expected so late that the estimates mean nothing.
 
 use super::placement::{
     CandidateWorker, //
@@ -26,28 +26,30 @@
     HashMap, //
 };
 
-/// Gangs for which room is kept at a time.
+/// Maximum number of gangs that reserve capacity at a time.
 pub(super) const RESERVING_GANGS: u32 = 5;
-/// Room that is free later than this is not kept: about two run times.
+/// Capacity that becomes free later than this is not reserved: about two run times.
 const HORIZON_MS: u64 = 15_000;
 
-/// When the runs on each candidate end and what they leave, the soonest first, as far as a
-/// pass has looked. Each gang that waits asks the same of the whole fleet.
+/// A cache of the expected ends of runs within a pass: every waiting gang needs those of
+/// the whole fleet.
 #[derive(Debug, Default)]
 pub(super) struct ExpectedEnds {
-    by_seat: HashMap<usize, Vec<(u64, Resources)>>,
+    /// The expected end and the resources of each run on a candidate, the soonest first.
+    by_candidate: HashMap<usize, Vec<(u64, Resources)>>,
+    /// Time left until a gang ends.
     by_gang: HashMap<GroupKey, u64>,
 }
 
 impl ExpectedEnds {
-    /// Runs have started or stopped since.
-    pub(super) fn forget(&mut self) {
-        self.by_seat.clear();
+    /// Drops the cached ends after runs have started or stopped.
+    pub(super) fn invalidate(&mut self) {
+        self.by_candidate.clear();
         self.by_gang.clear();
     }
 }
 
-/// When a candidate has room for one more task.
+/// The time at which a candidate can take one more task.
 #[derive(Clone, Copy, Debug)]
 struct FreeSlot {
     at_ms: u64,
@@ -55,7 +57,8 @@
 }
 
 impl Scheduler {
-    /// Keeps room for a gang that found none; whether there is any to keep.
+    /// Reserves capacity on the candidates for a gang that does not fit now. Returns
+    /// `false` if there is none to reserve within the horizon.
     pub(super) fn reserve_for(
         &self,
         key: GroupKey,
@@ -66,7 +69,7 @@
         let group = &self.groups[&key];
         let count = group.waiting as usize;
         let chosen = self.with_request(group, queue, &[], |request| {
-            self.soonest(request, candidates, count, ends)
+            self.soonest_slots(request, candidates, count, ends)
         });
         let Some(chosen) = chosen else {
             return false;
@@ -86,8 +89,9 @@
         true
     }
 
-    /// The slots that become free soonest; on one rack where that is asked for.
-    fn soonest(
+    /// Returns the `count` slots that become free soonest, on one rack if the request
+    /// asks for that.
+    fn soonest_slots(
         &self,
         request: &PlacementRequest<'_>,
         candidates: &[CandidateWorker],
@@ -96,7 +100,7 @@
     ) -> Option<Vec<FreeSlot>> {
         let mut slots: Vec<FreeSlot> = Vec::new();
         for at in 0..candidates.len() {
-            self.slots_of(request, candidates, at, ends, &mut slots);
+            self.add_slots(request, candidates, at, ends, &mut slots);
         }
         slots.sort_by_key(|slot| (slot.at_ms, slot.candidate));
         if !request.one_rack && request.data_rack.is_empty() {
@@ -115,7 +119,8 @@
         whole.min_by_key(|slots| slots.last().map_or(u64::MAX, |slot| slot.at_ms))
     }
 
-    fn slots_of(
+    /// Adds the slots of the candidate at index `at`, the soonest first.
+    fn add_slots(
         &self,
         request: &PlacementRequest<'_>,
         candidates: &[CandidateWorker],
@@ -129,17 +134,17 @@
             return;
         }
         let by_gang = &mut ends.by_gang;
-        let by_seat = ends.by_seat.entry(at);
-        let ends = by_seat.or_insert_with(|| self.ends_on(candidate.worker, by_gang));
+        let by_candidate = ends.by_candidate.entry(at);
+        let ends = by_candidate.or_insert_with(|| self.expected_ends_on(candidate.worker, by_gang));
         let mut free = candidate.free.minus(&candidate.reserved);
         let (mut at_ms, mut ends) = (self.now_ms, ends.iter());
         for _ in 0..most {
             while !free.holds(&request.resources) {
-                let Some((end_ms, room)) = ends.next() else {
+                let Some((end_ms, resources)) = ends.next() else {
                     return;
                 };
                 at_ms = at_ms.max(*end_ms);
-                free = free.plus(room);
+                free = free.plus(resources);
             }
             free = free.minus(&request.resources);
             slots.push(FreeSlot {
@@ -149,7 +154,9 @@
         }
     }
 
-    fn ends_on(
+    /// Returns the expected ends and the resources of the runs on a worker that end, the
+    /// soonest first.
+    fn expected_ends_on(
         &self,
         key: WorkerKey,
         by_gang: &mut HashMap<GroupKey, u64>,
@@ -167,12 +174,15 @@
         ends
     }
 
-    /// When a run ends, as far as progress and estimates tell; a gang with its
-    /// slowest member. `None` for never.
+    /// Returns when a run is expected to end, by its progress or by the estimates; a run
+    /// of a gang ends with the slowest member. `None` for a run that does not end by
+    /// itself.
     pub(super) fn expected_end_ms(&self, key: WorkerKey, run: &Run) -> Option<u64> {
         self.expected_end_with(key, run, |group| self.gang_left_ms(group))
     }
 
+    /// As [`Scheduler::expected_end_ms`], with the time left of a gang from
+    /// `gang_left_ms`.
     fn expected_end_with(
         &self,
         key: WorkerKey,
--- a/src/scheduler/run_time_model.rs
+++ b/src/scheduler/run_time_model.rs
@@ -1,24 +1,26 @@
 //! Corrects callers' estimates of run times, queue by queue.
 //!
-//! Load pattern: on one queue estimates are right within a fifth, on another they
-//! are off threefold while the run times themselves hardly differ. A straight line
-//! through the logarithms of estimates and true run times, as far as these became
-//! known, says for each queue how much of an estimate to believe. Limits: until a
-//! few run times are known the estimates are believed as they are.
+//! Load pattern: on one queue estimates are right within a fifth, on another they are off
+//! by a factor of three while the run times themselves hardly differ. A linear regression
+//! of the logarithms of the run times that became known on those of their estimates gives
+//! the prediction for each queue. Limits: until a few run times are known, estimates are
+//! taken as they are.
 
 use super::LogEstimate;
 
-/// Weight of the belief that estimates are right, in run times seen: the line is
-/// the data's after about ten.
+/// Weight of the prior, under which estimates are right, in run times seen: after about
+/// ten run times the data outweigh it.
 const PRIOR_RUNS: f64 = 3.0;
-/// Spread of estimates (as a variance of logarithms) that this weight stands for.
+/// Variance of the logarithms of the estimates in the prior.
 const PRIOR_SPREAD: f64 = 0.25;
-/// Spread of true run times around estimates before any is known: a third.
+/// Variance of the logarithms of true run times around estimates in the prior: a
+/// deviation by a third.
 const PRIOR_RESIDUAL: f64 = 0.09;
-/// However well they fitted so far, estimates are not trusted beyond this.
+/// Added to the variance of every prediction, however well estimates fitted so far.
 const LEAST_RESIDUAL: f64 = 0.01;
 
-/// Pairs of estimate and true run time, as sums over their logarithms.
+/// A regression of the logarithms of run times on those of their estimates, kept as
+/// running means and sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunTimeModel {
     runs: f64,
@@ -30,8 +32,8 @@
 }
 
 impl RunTimeModel {
-    /// Takes in a run time that became known, as a logarithm.
-    pub fn note(&mut self, estimated_ms: u64, ln_run_ms: f64) {
+    /// Adds a run time that became known, as a logarithm, with its estimate.
+    pub fn observe(&mut self, estimated_ms: u64, ln_run_ms: f64) {
         let estimate = logarithm(estimated_ms);
         self.runs += 1.0;
         let off_estimate = estimate - self.mean_estimate;
@@ -43,7 +45,7 @@
         self.time_squares += off_time * (ln_run_ms - self.mean_time);
     }
 
-    /// What is believed of the run time behind an estimate.
+    /// Returns the prediction of the run time for an estimate.
     pub fn predict(&self, estimated_ms: u64) -> LogEstimate {
         let estimate = logarithm(estimated_ms);
         let weight = PRIOR_RUNS * PRIOR_SPREAD;
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,4 +1,9 @@
-//! One pass: waiting work is offered the room there is.
+//! Runs a scheduling pass: offers free capacity to waiting groups in the order of
+//! [`super::ordering`].
+//!
+//! Starts, reservations and preemptions of a pass are subtracted from the candidates'
+//! free resources at once, so no resources are given to two groups. A pass starts
+//! nothing without authority, a configuration and fresh emptying orders.
 
 use super::action::Action;
 use super::ordering::{
@@ -28,34 +33,36 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Starts that one pass gives; more follow at once in the next, so that news
-/// is not kept waiting behind a burst.
+/// Maximum number of starts in one pass. The next pass follows at once and gives more,
+/// so that inputs do not wait behind a burst of starts.
 const MAX_STARTS: usize = 96;
-/// Work leaves the rack of its data after it waited this long: urgent work is to begin
-/// within 1.5 s. Without this wait its p99 in a full replay is 2,382 ms, with it 982.
+/// Wait after which work may leave the rack of its data, if that does not make it late.
+/// Urgent work should begin within 1.5 s. In a full replay, the p99 of the time until it
+/// begins is 2,382 ms without this wait and 982 ms with it.
 const LEAVE_RACK_MS: u64 = 1_500;
-/// It leaves whatever it costs after this long: below the 3 s for which work
-/// may wait beside idle workers.
+/// Wait after which work may leave the rack of its data in any case: less than the 3 s
+/// for which work may wait while workers are idle.
 const LEAVE_RACK_ANYWAY_MS: u64 = 2_600;
-/// A ticket is not used in the last moments of its life.
+/// A ticket that expires within this time is not used.
 const TICKET_MARGIN_MS: u64 = 300;
-/// Workers named in one question to a policy outside.
+/// Maximum number of workers in one request to the external placement policy.
 const MAX_ADVISED_WORKERS: usize = 30;
 
-/// Needs that found no room in this pass; what needs as much or more is passed
-/// over, so that 200 like tasks do not cost 200 searches.
+/// Resources per task for which no candidate was found in this pass. Groups that need at
+/// least as much are skipped, so that 200 similar tasks do not cost 200 searches.
 #[derive(Debug, Default)]
-struct Misses {
+struct FailedSearches {
     needs: Vec<Resources>,
 }
 
-impl Misses {
+impl FailedSearches {
+    /// Whether a search for at most these resources has failed.
     fn covers(&self, needs: &Resources) -> bool {
-        self.needs.iter().any(|missed| needs.holds(missed))
+        self.needs.iter().any(|failed| needs.holds(failed))
     }
 }
 
-/// What a pass has kept for gangs that wait.
+/// State of the reservations that a pass makes for waiting gangs.
 #[derive(Debug, Default)]
 struct Reservations {
     gangs: u32,
@@ -63,18 +70,18 @@
 }
 
 impl Scheduler {
-    /// Offers room to waiting work, in order.
+    /// Offers free capacity to the waiting groups in order.
     pub(super) fn pass(&mut self) {
         if !self.has_authority() || self.configuration.version == 0 {
             return;
         }
         if !self.knows_orders() {
-            self.note_orders_unread();
+            self.report_stale_orders();
             return;
         }
         self.note_entries_unread();
         let mut candidates = self.candidates();
-        let mut misses = Misses::default();
+        let mut failed_searches = FailedSearches::default();
         let mut reservations = Reservations::default();
         let mut non_urgent_capacity = self.non_urgent_capacity();
         let mut starts = 0;
@@ -83,22 +90,22 @@
                 self.changed = true;
                 break;
             }
-            let patient = self.is_non_urgent(ranked.key);
-            let room = self.groups[&ranked.key].resources.accelerators;
-            let limit = match patient {
-                true => non_urgent_capacity.tasks(room, self.slack_fraction(ranked.key)),
+            let non_urgent = self.is_non_urgent(ranked.key);
+            let accelerators = self.groups[&ranked.key].resources.accelerators;
+            let limit = match non_urgent {
+                true => non_urgent_capacity.tasks(accelerators, self.slack_fraction(ranked.key)),
                 false => u32::MAX,
             };
             let started = self.offer(
                 ranked,
                 limit,
                 &mut candidates,
-                &mut misses,
+                &mut failed_searches,
                 &mut reservations,
             );
-            if patient {
-                non_urgent_capacity.take(started as u32 * room);
-                non_urgent_capacity.leave(self.waiting_gang(ranked.key) * room);
+            if non_urgent {
+                non_urgent_capacity.take(started as u32 * accelerators);
+                non_urgent_capacity.reserve(self.waiting_gang(ranked.key) * accelerators);
             }
             starts += started;
         }
@@ -111,25 +118,25 @@
             .slack_fraction(self.now_ms, group.run_ms())
     }
 
-    /// Members of a gang that waits; 0 for other groups.
+    /// Number of waiting members if the group is a gang; 0 for other groups.
     fn waiting_gang(&self, key: GroupKey) -> u32 {
         let group = self.groups.get(&key).filter(|group| group.step.gang);
         group.map_or(0, |group| group.waiting)
     }
 
-    /// Workers that take work, with their room.
+    /// Workers that accept work, with their free resources.
     fn candidates(&self) -> Vec<CandidateWorker> {
         let now_ms = self.now_ms;
-        let takes = || {
+        let accepting = || {
             self.workers
                 .iter()
                 .filter(|worker| worker.takes_work(now_ms) && !self.is_room_unknown(worker.key))
         };
         let mut rack_free: HashMap<&Arc<str>, u32> = HashMap::new();
-        for worker in takes() {
+        for worker in accepting() {
             *rack_free.entry(worker.rack()).or_default() += worker.free().accelerators;
         }
-        takes()
+        accepting()
             .map(|worker| CandidateWorker {
                 worker: worker.key,
                 free: worker.free(),
@@ -145,12 +152,14 @@
             .collect()
     }
 
+    /// Offers free capacity to one group: places up to `limit` of its tasks, and
+    /// otherwise preempts or reserves for it. Returns the number of tasks started.
     fn offer(
         &mut self,
         ranked: Ranked,
         limit: u32,
         candidates: &mut [CandidateWorker],
-        misses: &mut Misses,
+        failed_searches: &mut FailedSearches,
         reservations: &mut Reservations,
     ) -> usize {
         let key = ranked.key;
@@ -159,7 +168,7 @@
         }
         let on_trial = self.is_on_trial(key);
         let group = &self.groups[&key];
-        let plain = !on_trial
+        let unconstrained = !on_trial
             && !group.step.gang
             && group.step.required_label.is_empty()
             && group.step.data_rack.is_empty()
@@ -168,7 +177,7 @@
             return 0;
         };
         let queue = known.terms.clone();
-        if plain && queue.advice.is_none() && misses.covers(&group.resources) {
+        if unconstrained && queue.advice.is_none() && failed_searches.covers(&group.resources) {
             return 0;
         }
         if !self.has_advice(key, &queue, candidates) {
@@ -189,14 +198,14 @@
         let complete = placed == group.waiting;
         let started = self.start_placements(key, &placements, candidates);
         if started > 0 {
-            reservations.ends.forget();
+            reservations.ends.invalidate();
         }
         if !complete {
-            if plain && !limited {
-                misses.needs.push(self.groups[&key].resources);
+            if unconstrained && !limited {
+                failed_searches.needs.push(self.groups[&key].resources);
             }
             if self.may_preempt(&ranked) && self.preempt_for(ranked, &queue, candidates) {
-                reservations.ends.forget();
+                reservations.ends.invalidate();
                 return started;
             }
             if self.groups[&key].step.gang
@@ -209,7 +218,7 @@
         started
     }
 
-    /// Calls `then` with what the waiting tasks of a group ask for.
+    /// Calls `then` with the placement request of a group's waiting tasks.
     pub(super) fn with_request<T>(
         &self,
         group: &Group,
@@ -218,11 +227,11 @@
         then: impl FnOnce(&PlacementRequest<'_>) -> T,
     ) -> T {
         let step = &group.step;
-        let mut there: HashMap<WorkerKey, u32> = HashMap::new();
+        let mut placed_on: HashMap<WorkerKey, u32> = HashMap::new();
         if step.max_per_worker > 0 {
             for task in &group.tasks {
                 if let TaskState::Placed { worker, .. } = task.state {
-                    *there.entry(worker).or_default() += 1;
+                    *placed_on.entry(worker).or_default() += 1;
                 }
             }
         }
@@ -253,14 +262,14 @@
             }
             match step.max_per_worker {
                 0 => u32::MAX,
-                most => most.saturating_sub(there.get(&key).copied().unwrap_or(0)),
+                most => most.saturating_sub(placed_on.get(&key).copied().unwrap_or(0)),
             }
         };
         then(&PlacementRequest {
             resources: group.resources,
             count: group.waiting,
             end_ms: self.now_ms + group.run_ms(),
-            tolerance: group.objective_ms.saturating_sub(self.now_ms) as f64
+            slack_ratio: group.objective_ms.saturating_sub(self.now_ms) as f64
                 / group.run_ms().max(1) as f64,
             gang: step.gang,
             one_rack: step.same_rack,
@@ -269,33 +278,36 @@
             fills: step.fills,
             serves: step.serves(),
             on_trial,
-            unsteady: &|key| was_lost && self.crashed_lately(key),
+            crash_prone: &|key| was_lost && self.crashed_lately(key),
             avoid,
             allowed: &allowed,
         })
     }
 
-    /// Leaving the rack makes work several times as long: worth it when it is
-    /// on time even so, or late in any case, and after a while anyway.
+    /// Whether a group may run outside the rack of its data, where it takes several
+    /// times as long. It may, after a wait, if it is on time there or would be late on
+    /// its rack as well; and after a longer wait in any case.
     fn may_leave_rack(&self, group: &Group) -> bool {
         let now_ms = self.now_ms;
         let waited_ms = now_ms.saturating_sub(group.released_ms);
-        let promised = self.guaranteed.contains(&group.key.job);
+        let guaranteed = self.guaranteed.contains(&group.key.job);
         if self.is_rack_emptied(&group.step.data_rack) {
             return true;
         }
         if waited_ms >= LEAVE_RACK_ANYWAY_MS
-            || (promised && waited_ms >= self.tuning.promised_wait_ms())
+            || (guaranteed && waited_ms >= self.tuning.guaranteed_wait_ms())
         {
             return true;
         }
-        let near_ms = group.run_ms();
-        let far_ms = (near_ms as f64 * self.tuning.remote_factor) as u64;
-        let late_anyway = now_ms + near_ms > group.objective_ms;
-        let on_time_even_so = now_ms + far_ms <= group.objective_ms;
-        waited_ms >= LEAVE_RACK_MS && (late_anyway || on_time_even_so)
+        let local_ms = group.run_ms();
+        let remote_ms = (local_ms as f64 * self.tuning.remote_factor) as u64;
+        let late_locally = now_ms + local_ms > group.objective_ms;
+        let on_time_remotely = now_ms + remote_ms <= group.objective_ms;
+        waited_ms >= LEAVE_RACK_MS && (late_locally || on_time_remotely)
     }
 
+    /// Starts waiting tasks as placed, and subtracts their resources from the
+    /// candidates. Returns the number of tasks started.
     fn start_placements(
         &mut self,
         key: GroupKey,
@@ -309,7 +321,7 @@
             .map(|(index, _)| index)
             .collect::<Vec<_>>()
             .into_iter();
-        let (room, gang) = (group.resources, group.step.gang);
+        let (resources, gang) = (group.resources, group.step.gang);
         let (fills, serves) = (group.step.fills, group.step.serves());
         let gang_run = gang.then(|| self.next_run(key, None));
         let on_trial = self.is_on_trial(key);
@@ -320,7 +332,7 @@
                 let Some(index) = waiting.next() else {
                     return started;
                 };
-                candidate.free = candidate.free.minus(&room);
+                candidate.free = candidate.free.minus(&resources);
                 candidate.fills |= fills;
                 candidate.serves |= serves;
                 let run = gang_run.unwrap_or_else(|| self.next_run(key, Some(index)));
@@ -343,7 +355,9 @@
         ticket.is_some_and(|ticket| self.now_ms + TICKET_MARGIN_MS < ticket.until_ms)
     }
 
-    /// Whether a policy outside has to be asked first; if so, it is asked.
+    /// Whether a group may be placed now: its queue has no external placement policy, or
+    /// the policy has approved some worker. Asks the policy for more workers if the
+    /// approved ones do not hold all waiting tasks.
     fn has_advice(
         &mut self,
         key: GroupKey,
@@ -388,14 +402,15 @@
         ticketed > 0
     }
 
-    /// Takes in what a policy outside said.
+    /// Handles the answer of an external placement policy; `approved` is `None` if it did
+    /// not answer.
     pub(super) fn handle_advice(
         &mut self,
         key: GroupKey,
         asked: &[WorkerKey],
         approved: Option<Vec<(String, std::sync::Arc<str>)>>,
     ) {
-        /// Wait before an unanswered question is put again.
+        /// Wait before the policy is asked again after a request without an answer.
         const ASK_AGAIN_MS: u64 = 200;
         let now_ms = self.now_ms;
         let validity_ms = self.jobs.get(&key.job).map_or(0, |job| {
@@ -413,7 +428,7 @@
             return;
         };
         for (name, ticket) in approved {
-            // A ticket holds for the incarnation that was asked about.
+            // A ticket is valid only for the incarnation of the worker that was asked about.
             let worker = index.get(&name).filter(|worker| asked.contains(worker));
             if let Some(&worker) = worker {
                 let until_ms = now_ms + validity_ms;
@@ -428,7 +443,8 @@
         }
     }
 
-    /// Whether urgent work may take room from other work for this group.
+    /// Whether runs of other jobs may be preempted for this group: it is guaranteed, or
+    /// it is urgent and still on time.
     pub(super) fn may_preempt(&self, ranked: &Ranked) -> bool {
         let job = &self.jobs[&ranked.key.job];
         let group = &self.groups[&ranked.key];
--- a/src/scheduler/throttling.rs
+++ b/src/scheduler/throttling.rs
@@ -1,12 +1,11 @@
-//! Keeping work that fills a worker from harming the tasks that serve there.
+//! Throttles runs that fill a worker so that they do not harm the tasks that serve there.
 //!
-//! Load pattern: tasks that serve have a target for the tail of their response
-//! times; what fills beside them raises it by amounts that differ by image and
-//! change within seconds. The tail is told for the last half second, so the
-//! pace follows it in steps: down at once when the tail nears the target, up
-//! slowly while there is room. Limits: a target may be passed for
-//! some seconds on end at most, so the first answer to a passed target
-//! is a pace of 0.
+//! Load pattern: tasks that serve have a target for the tail of their response times;
+//! runs that fill the worker beside them raise the tail by amounts that differ by image
+//! and change within seconds. Workers report the tail of the last half second, so the
+//! throttle follows it in steps: halved at once when the tail nears the target, raised
+//! slowly while the tail is far below it. Limits: the tail may exceed the target for a
+//! few seconds at most, so once it does, the throttle is set to 0 percent.
 
 use super::action::Action;
 use super::state::Scheduler;
@@ -17,17 +16,18 @@
 };
 use crate::core::WorkerKey;
 
-/// Wait of a look at a worker that shares: as old as the tail that it tells.
+/// Wait of a poll of a worker with runs that fill and serve: about the period that the
+/// reported tail covers.
 pub(super) const SHARED_POLL_WAIT_MS: u64 = 400;
-/// From this part of the target on, what fills works less.
+/// From this part of the target on, the throttle is lowered.
 const NEAR_TARGET: f64 = 0.85;
-/// Below this part of the target, what fills may work more.
+/// Below this part of the target, the throttle is raised.
 const FAR_FROM_TARGET: f64 = 0.6;
-/// Steps of the pace.
-const UP_PERCENT: u32 = 15;
+/// Percentage points by which the throttle is raised at a time.
+const STEP_UP_PERCENT: u32 = 15;
 
 impl Scheduler {
-    /// Sets the pace of what fills beside tasks that serve.
+    /// Adjusts the throttle of all runs that fill workers.
     pub(super) fn review_sharing(&mut self) {
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Adjusts the throttle of the runs that fill a worker.
     fn throttle_worker(&mut self, key: WorkerKey) {
         let pressure = self.pressure(key);
         let heard_ms = self.worker(key).heard_ms;
@@ -47,18 +48,19 @@
             if !run.fills || run.phase != RunPhase::Running || run.throttle_in_flight {
                 continue;
             }
-            let known = run.throttle_percent.min(100);
+            let current = run.throttle_percent.min(100);
             let wanted = match pressure {
                 Some(pressure) if pressure >= 1.0 => 0,
-                Some(pressure) if pressure >= NEAR_TARGET => known / 2,
-                Some(pressure) if pressure >= FAR_FROM_TARGET => known,
-                _ => (known + UP_PERCENT).min(100),
+                Some(pressure) if pressure >= NEAR_TARGET => current / 2,
+                Some(pressure) if pressure >= FAR_FROM_TARGET => current,
+                _ => (current + STEP_UP_PERCENT).min(100),
             };
-            // One step for each news of the worker, and a pace that may not
-            // have arrived is sent again.
-            let news =
+            // One step for each report of the worker. Above 100 percent stands for a
+            // throttle that is not known, because its order may not have arrived: it is
+            // sent again.
+            let may_change =
                 heard_ms > run.throttled_ms.max(run.ordered_ms) || run.throttle_percent > 100;
-            if wanted != run.throttle_percent && news {
+            if wanted != run.throttle_percent && may_change {
                 changes.push((name, wanted));
             }
         }
@@ -67,7 +69,8 @@
         }
     }
 
-    /// The worst tail on the worker against its target.
+    /// The highest ratio of the response tail of a run on the worker to its target;
+    /// `None` if no tail is known.
     fn pressure(&self, key: WorkerKey) -> Option<f64> {
         let runs = self.worker(key).runs.iter();
         let serving = runs.filter(|(_, run)| run.serves && run.phase == RunPhase::Running);
--- a/src/scheduler/tuning.rs
+++ b/src/scheduler/tuning.rs
@@ -1,65 +1,65 @@
-//! Bounds that a scheduler is given.
+//! Defines the time bounds and policies that a scheduler is configured with.
 
 use super::OrderingPolicy;
 
-/// Bounds of the scheduler.
+/// Time bounds and policies of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// How long an owner that cannot confirm its epoch goes on giving leases
-    /// and starts. Longer than the outages of the store that work should
-    /// survive unharmed; a new owner waits it out for workers it cannot reach.
+    /// How long an owner that cannot confirm its epoch goes on giving leases and starts.
+    /// It is longer than the store outages that work should survive; a new owner waits
+    /// this long for workers that it cannot reach.
     pub authority_ms: u64,
-    /// Length of a worker's lease: survives a cut of that length.
+    /// Length of a worker's lease. Runs survive a loss of connection of this length.
     pub lease_ms: u64,
-    /// The longest lease that a worker gives, whatever it is told.
+    /// The longest lease that a worker accepts, whatever is requested.
     pub max_lease_ms: u64,
-    /// A start that arrives later than this does nothing. Short, so that a
-    /// start without an answer is settled early.
+    /// A worker ignores a start that arrives later than this. The window is short so that
+    /// the outcome of a start without an answer is known early.
     pub start_window_ms: u64,
-    /// Most that a stop takes on a worker.
+    /// Maximum time that a stop takes on a worker.
     pub stop_ms: u64,
-    /// Within so long guaranteed work begins, stops of others included.
+    /// Time within which guaranteed work begins, including the stops of preempted runs.
     pub reclaim_ms: u64,
     /// How long a worker may hold a poll open.
     pub poll_wait_ms: u64,
     /// How long an ended job is remembered.
     pub retention_ms: u64,
-    /// Tasks with data on a rack, or tight gangs, take this many times as long
-    /// elsewhere.
+    /// Factor by which tasks run longer outside the rack of their data, and gangs that
+    /// request one rack outside a single rack.
     pub remote_factor: f64,
-    /// Time that a run loses by going on from a checkpoint.
+    /// Time that a run loses when it restores a checkpoint.
     pub restore_ms: u64,
     /// Time between two checkpoints.
     pub checkpoint_ms: u64,
-    /// What orders waiting work.
+    /// The policy that orders waiting work.
     pub order: OrderingPolicy,
-    /// An owner that read the operators' orders longer ago than this starts
+    /// An owner that last read the operators' emptying orders longer ago than this starts
     /// nothing.
     pub orders_max_age_ms: u64,
-    /// An owner that read the workers' entries longer ago than this starts nothing on
-    /// workers that start whatever they are told to: their room may have shrunk.
+    /// An owner that last read the workers' entries longer ago than this starts nothing on
+    /// workers that do not check their own capacity, because the capacity may have shrunk.
     pub entries_max_age_ms: u64,
     /// How long a machine is down for its upkeep.
     pub upkeep_ms: u64,
-    /// A new owner gives no orders for machines for this long: two owners in
-    /// touch may not take turns at one machine within it.
+    /// Time for which a new owner orders no upkeep: within it, two successive owners that
+    /// both reach the platform must not give orders for the same machine.
     pub holder_gap_ms: u64,
 }
 
-/// Time beyond the bound of a stop until its end is listed and room is offered
-/// again: two answers of a worker and a pass.
-const LISTED_MS: u64 = 150;
+/// Time after a stop until its end is listed and the capacity is offered again: two
+/// answers of a worker and a pass.
+const LISTING_DELAY_MS: u64 = 150;
 
 impl Tuning {
-    /// How long guaranteed work waits for its rack: half of what its promise leaves
-    /// beside a stop, so that it may still take room back elsewhere.
-    pub(super) fn promised_wait_ms(&self) -> u64 {
+    /// How long guaranteed work waits for capacity on its rack: half of the time that its
+    /// bound leaves beside a stop, so that it can still preempt runs elsewhere in time.
+    pub(super) fn guaranteed_wait_ms(&self) -> u64 {
         self.reclaim_ms.saturating_sub(self.settle_ms()) / 2
     }
 
-    /// From a stop's order until the room is offered again, at most.
+    /// Maximum time from the order to stop a run until its capacity is offered again.
     pub(super) fn settle_ms(&self) -> u64 {
-        self.stop_ms + LISTED_MS
+        self.stop_ms + LISTING_DELAY_MS
     }
 }
 
