--- a/benches/passes.rs
+++ b/benches/passes.rs
@@ -1,6 +1,6 @@
-//! What a decision costs an owner beside a full queue, by the size of its fleet:
-//! the first deployments at their larger sizes, and the plan's 7,300 workers.
-//! `cargo bench --bench passes -- 350` measures the sizes whose number holds that.
+//! Measures the time of the scheduler's decisions with a full queue, by the size of the
+//! fleet: the first deployments at their larger sizes, and the planned 7,300 workers.
+//! `cargo bench --bench passes -- 350` measures only the sizes whose number contains 350.
 
 #[expect(
     dead_code,
@@ -18,7 +18,8 @@
 use std::time::Duration;
 
 const SEED: u64 = 11;
-/// Decisions are timed in the second half of this time: the queue is full by then.
+/// Length of the replay. Decisions are measured in its second half, when the queue is
+/// full.
 const UNTIL_MS: u64 = 12_000;
 
 fn main() {
--- a/benches/replay.rs
+++ b/benches/replay.rs
@@ -1,6 +1,6 @@
-//! Loads replayed in virtual time under three rules of order; the same figures
-//! on each run. `cargo bench --bench replay -- burst` replays loads whose names
-//! hold that word.
+//! Replays loads in virtual time under the three ordering policies and prints figures,
+//! which are the same in every run. `cargo bench --bench replay -- burst` replays only the
+//! loads whose names contain that word.
 
 #[expect(
     dead_code,
@@ -20,7 +20,7 @@
 
 const SEEDS: [u64; 4] = [11, 22, 33, 44];
 
-/// What the replays say of the operators' order, if they had one.
+/// Prints the figures of the operators' order, if the replays had one.
 fn print_order(name: &str, runs: &[Figures]) {
     let orders: Vec<&OrderFigures> = runs.iter().filter_map(|run| run.order.as_ref()).collect();
     if orders.is_empty() {
@@ -38,8 +38,8 @@
     let used_again_ms = used_again.and_then(|times_ms| times_ms.into_iter().max());
     let wait_ms = runs.iter().map(|run| run.guaranteed_wait_ms).max();
     let figure = |what: &str, value: &str| println!("figure {name}_{what} {value}");
-    let number = |value: Option<u64>, without: &str| {
-        value.map_or_else(|| without.to_owned(), |value| value.to_string())
+    let number = |value: Option<u64>, missing: &str| {
+        value.map_or_else(|| missing.to_owned(), |value| value.to_string())
     };
     figure("orders", &orders.len().to_string());
     figure(
@@ -68,14 +68,14 @@
         .iter()
         .filter(|load| only.as_ref().is_none_or(|only| load.name.contains(only)));
     for load in chosen {
-        for (name, order) in [
+        for (name, policy) in [
             ("worth", OrderingPolicy::Utility),
             ("first_come", OrderingPolicy::FirstComeFirstServed),
             ("shortest", OrderingPolicy::ShortestFirst),
         ] {
             let runs: Vec<Figures> = SEEDS
                 .iter()
-                .map(|&seed| replay(load, order, seed))
+                .map(|&seed| replay(load, policy, seed))
                 .collect();
             let mean =
                 |of: fn(&Figures) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
@@ -83,7 +83,7 @@
                 println!("figure {}_{name}_{what} {value:.3}", load.name);
             };
             figure("jobs", mean(|run| run.jobs as f64));
-            figure("worth", mean(|run| run.worth));
+            figure("worth", mean(|run| run.utility));
             figure("on_time", mean(|run| run.on_time));
             figure("late", mean(|run| run.late));
             figure("worst_windows", mean(|run| run.worst_windows));
@@ -92,7 +92,7 @@
             figure("largest_tenth", mean(|run| run.largest_tenth));
             figure("thrown_away_core_s", mean(|run| run.thrown_away_core_s));
             figure("reclaim_p99_ms", mean(|run| run.reclaim_p99_ms as f64));
-            figure("twice", mean(|run| run.twice as f64));
+            figure("twice", mean(|run| run.double_runs as f64));
             print_order(&format!("{}_{name}", load.name), &runs);
         }
     }
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -1,5 +1,5 @@
-//! Taking room back for urgent work: what is taken, what is left alone, and what
-//! is waited for.
+//! Preemption for urgent work: which runs are stopped, which are left alone, and for
+//! which the urgent work waits instead.
 
 #[path = "support/fleet.rs"]
 #[expect(dead_code, reason = "each test program uses a part of the fixture")]
@@ -19,10 +19,10 @@
     Tuning, //
 };
 
-/// An account's urgent job began 3.4 s after its acceptance, at its promise's
-/// bound. The run in its way was expected to end before a stop would have ended
-/// it, and was waited for; it took longer, was expected to end at once in each
-/// pass that followed, and was stopped only when others had taken the room.
+/// Guards against guaranteed work that waits up to its bound for an overdue run. A run
+/// that is expected to end before a stop would end it is not preempted. If it takes
+/// longer than expected, it seems about to end in every later pass, and the urgent job
+/// began only after 3.4 s, when others had taken the capacity.
 #[test]
 fn guaranteed_work_waits_only_once_for_a_run_that_should_end_soon() {
     let mut fleet = Fleet::with_workers(1);
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn guaranteed_work_leaves_its_rack_in_time_for_a_short_promise() {
-    // Where guaranteed work has to begin within 1.2 s, an urgent gang that wants one
-    // rack waited 1.3 s for it, whatever the bound, beside idle workers on other
-    // racks: its promise was over before it looked there.
+fn guaranteed_work_leaves_its_rack_in_time_for_a_short_bound() {
+    // Guards against a wait for the rack that does not depend on the bound: an urgent gang
+    // that requests one rack waited 1.3 s for it beside idle workers on other racks,
+    // although guaranteed work had to begin within 1.2 s.
     const RECLAIM_MS: u64 = 1_200;
     let tuning = Tuning {
         reclaim_ms: RECLAIM_MS,
@@ -63,19 +63,19 @@
 }
 
 #[test]
-fn room_for_a_gang_is_used_for_as_long_as_a_stop_takes() {
-    // A gang waits for two workers; one is idle, on the other a run is being stopped,
-    // which takes 900 ms. Its room was expected after 200 ms wherever it is, so that
-    // nothing ran on the idle worker meanwhile, though short tasks end before.
+fn capacity_reserved_for_a_gang_is_backfilled_while_a_run_stops() {
+    // A gang waits for two workers: one is idle, and on the other a run is being stopped,
+    // which takes 900 ms. Guards against a fixed estimate of 200 ms for stops, under which
+    // nothing ran on the idle worker meanwhile, although short tasks end before the stop.
     let tuning = Tuning {
         stop_ms: 900,
         ..Tuning::default()
     };
     let mut fleet = Fleet::with_tuning(2, tuning);
-    let leaving = fleet.submit(1, record("plain", vec![step(1, 8)]));
+    let stopping = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     fleet.stops_take_effect = false;
-    fleet.tell(Input::JobCancelled(leaving));
+    fleet.tell(Input::JobCancelled(stopping));
     fleet.advance(20);
     fleet.submit(2, record("plain", vec![gang(2, 8)]));
     fleet.advance(20);
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -1,5 +1,5 @@
-//! Workers that are shared by tasks that serve and tasks that fill, and queues
-//! on which a policy outside decides where steps may run.
+//! Throttling of runs that fill workers beside tasks that serve, and queues for which an
+//! external placement policy decides where steps may run.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
@@ -44,30 +44,34 @@
     }
 }
 
-/// A fleet of one worker with a task that serves and one that fills beside it.
+/// Returns a fleet of one worker with a run that serves and a run that fills.
 fn shared_worker() -> (Fleet, RunName, RunName) {
     let mut fleet = Fleet::with_workers(1);
     fleet.submit(1, record("plain", vec![serving()]));
     fleet.submit(2, record("patient", vec![filling()]));
     fleet.advance(500);
     let running = fleet.running();
-    assert_eq!(running.len(), 2, "what fills needs no cores of its own");
+    assert_eq!(
+        running.len(),
+        2,
+        "a task that fills needs no cores of its own"
+    );
     (fleet, running[0].1, running[1].1)
 }
 
 #[test]
-fn a_tail_over_its_target_stops_what_fills_at_once() {
+fn a_tail_over_its_target_throttles_filling_runs_to_zero_at_once() {
     let (mut fleet, serves, fills) = shared_worker();
     fleet.usage.insert(serves, 130.0);
 
     fleet.advance(600);
 
     assert_eq!(fleet.throttles.first(), Some(&(fills, 0)));
-    assert!(fleet.stops.is_empty(), "it goes on later");
+    assert!(fleet.stops.is_empty(), "the run is throttled, not stopped");
 }
 
 #[test]
-fn what_fills_works_more_again_step_by_step() {
+fn the_throttle_rises_again_step_by_step() {
     let (mut fleet, serves, fills) = shared_worker();
     fleet.usage.insert(serves, 130.0);
     fleet.advance(600);
@@ -86,12 +90,12 @@
         percents.windows(2).all(|pair| pair[0] < pair[1]),
         "{percents:?}"
     );
-    assert!(percents.len() >= 5, "not all at once: {percents:?}");
+    assert!(percents.len() >= 5, "too few steps: {percents:?}");
     assert_eq!(percents.last(), Some(&100));
 }
 
 #[test]
-fn near_the_target_what_fills_halves_and_below_it_stays() {
+fn the_throttle_is_halved_near_the_target_and_kept_below_it() {
     let (mut fleet, serves, fills) = shared_worker();
     fleet.usage.insert(serves, 90.0);
     fleet.advance(130);
@@ -105,7 +109,7 @@
 }
 
 #[test]
-fn what_fills_goes_where_nothing_serves_if_it_can() {
+fn tasks_that_fill_avoid_workers_that_serve() {
     let mut fleet = Fleet::with_workers(2);
     fleet.submit(1, record("plain", vec![serving()]));
     fleet.advance(200);
@@ -120,18 +124,18 @@
     assert_ne!(filled.unwrap().0, served);
 }
 
-/// A fleet whose queue `asked` needs approval, with one job on it.
-fn asking_fleet() -> (Fleet, GroupKey) {
+/// Returns a fleet with one job on a queue `asked` that has an external placement policy.
+fn fleet_with_advised_queue() -> (Fleet, GroupKey) {
     let mut fleet = Fleet::with_workers(3);
-    let mut asked = queue("asked", 1);
-    asked.advice = Some(AdviceTerms {
+    let mut advised = queue("asked", 1);
+    advised.advice = Some(AdviceTerms {
         decision_ms: 20,
         per_worker_ms: 1,
         validity_ms: VALIDITY_MS,
     });
     let mut version = configuration(64);
     version.version = 2;
-    version.queues.push(asked);
+    version.queues.push(advised);
     fleet.tell(Input::Configure(Arc::new(version)));
     let job = fleet.submit(1, record("asked", vec![step(1, 1)]));
     fleet.advance(50);
@@ -143,7 +147,8 @@
     (fleet, step)
 }
 
-fn questions(fleet: &Fleet) -> Vec<Vec<WorkerKey>> {
+/// Returns the workers named in each request to the policy.
+fn advice_requests(fleet: &Fleet) -> Vec<Vec<WorkerKey>> {
     let asked = fleet.actions.iter().filter_map(|action| match action {
         Action::Advise { workers, .. } => Some(workers.iter().map(|(key, _)| *key).collect()),
         _ => None,
@@ -151,8 +156,9 @@
     asked.collect()
 }
 
-fn advise(fleet: &mut Fleet, step: GroupKey, approved: Option<&str>) {
-    let asked = questions(fleet).last().cloned().unwrap_or_default();
+/// Answers the last request with the approval of one worker; `None` for no answer.
+fn answer_advice_request(fleet: &mut Fleet, step: GroupKey, approved: Option<&str>) {
+    let asked = advice_requests(fleet).last().cloned().unwrap_or_default();
     let rows = approved.map(|name| vec![(name.to_owned(), Arc::from("ticket"))]);
     fleet.tell(Input::AdviceResult {
         step,
@@ -163,12 +169,12 @@
 
 #[test]
 fn a_step_runs_only_where_it_is_approved_and_with_its_ticket() {
-    let (mut fleet, step) = asking_fleet();
-    assert!(fleet.starts.is_empty(), "nobody has approved anything");
-    assert_eq!(questions(&fleet).len(), 1, "one question at a time");
-    assert_eq!(questions(&fleet)[0].len(), 3);
+    let (mut fleet, step) = fleet_with_advised_queue();
+    assert!(fleet.starts.is_empty(), "no worker is approved yet");
+    assert_eq!(advice_requests(&fleet).len(), 1, "one request at a time");
+    assert_eq!(advice_requests(&fleet)[0].len(), 3);
 
-    advise(&mut fleet, step, Some("w1"));
+    answer_advice_request(&mut fleet, step, Some("w1"));
     fleet.advance(50);
 
     let start = fleet.actions.iter().find_map(|action| match action {
@@ -179,42 +185,46 @@
 }
 
 #[test]
-fn a_question_without_an_answer_is_put_again() {
-    let (mut fleet, step) = asking_fleet();
-    advise(&mut fleet, step, None);
+fn an_advice_request_without_an_answer_is_repeated() {
+    let (mut fleet, step) = fleet_with_advised_queue();
+    answer_advice_request(&mut fleet, step, None);
     fleet.advance(600);
 
-    assert_eq!(questions(&fleet).len(), 2);
+    assert_eq!(advice_requests(&fleet).len(), 2);
     assert!(fleet.starts.is_empty());
 }
 
-/// The approvals of workers without room were asked for as well: each names a
-/// worker more and costs the policy its time for it.
+/// Guards against requests that name workers without free capacity: each worker in a
+/// request costs the policy time.
 #[test]
-fn workers_without_room_are_not_asked_about() {
-    let (mut fleet, step) = asking_fleet();
-    advise(&mut fleet, step, Some("w1"));
+fn advice_requests_omit_workers_without_capacity() {
+    let (mut fleet, step) = fleet_with_advised_queue();
+    answer_advice_request(&mut fleet, step, Some("w1"));
     fleet.advance(50);
     fleet.actions.clear();
     let large = record("asked", vec![fleet::step(1, 8)]);
     fleet.submit(2, large);
     fleet.advance(50);
 
-    let asked = questions(&fleet);
-    assert_eq!(asked[0].len(), 2, "the third has 7 of 8 accelerators left");
+    let requests = advice_requests(&fleet);
+    assert_eq!(
+        requests[0].len(),
+        2,
+        "the third worker has 7 of 8 accelerators left"
+    );
 }
 
 #[test]
-fn a_ticket_that_a_worker_refuses_is_asked_for_again() {
-    let (mut fleet, step) = asking_fleet();
+fn a_ticket_that_a_worker_refuses_is_requested_again() {
+    let (mut fleet, step) = fleet_with_advised_queue();
     fleet.refusal = Some(StartRefusal::NoTicket);
-    advise(&mut fleet, step, Some("w1"));
+    answer_advice_request(&mut fleet, step, Some("w1"));
     fleet.advance(50);
     assert_eq!(fleet.starts.len(), 1, "a refused ticket is not used again");
-    assert_eq!(questions(&fleet).len(), 2);
+    assert_eq!(advice_requests(&fleet).len(), 2);
 
     fleet.refusal = None;
-    advise(&mut fleet, step, Some("w1"));
+    answer_advice_request(&mut fleet, step, Some("w1"));
     fleet.advance(50);
     assert_eq!(fleet.running().len(), 1);
 }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet for tests of the scheduler: workers that do what they are
-//! told at once, unless a test says otherwise, and a clock that tests move.
+//! A small simulated fleet for tests of the scheduler: its workers carry orders out at
+//! once, unless a test says otherwise, and tests advance its clock.
 
 use fuchsiaslip::core::{
     JobId,
@@ -43,10 +43,10 @@
 /// The time at which every test begins.
 pub const BEGIN_MS: u64 = 1_000_000;
 
-/// The workers are known and answer before a test begins.
+/// Time before a test begins, in which the workers register and answer their first polls.
 const WARM_UP_MS: u64 = 1_000;
 
-/// A worker that holds orders, as tests see it.
+/// A simulated worker.
 #[derive(Clone, Debug, Default)]
 pub struct FakeWorker {
     pub running: BTreeMap<RunName, u32>,
@@ -55,32 +55,32 @@
     pub refused_runs: BTreeMap<TaskId, u64>,
     /// End of its lease, on its own clock.
     pub lease_end_ms: u64,
-    /// When it started; its clock counts from a fixed time before.
+    /// When its incarnation started; its clock counts from a fixed time before.
     pub incarnation_start_ms: u64,
 }
 
 impl FakeWorker {
-    fn born_at(now_ms: u64) -> Self {
+    fn started_at(now_ms: u64) -> Self {
         Self {
             incarnation_start_ms: now_ms,
             ..Self::default()
         }
     }
 
-    /// Its clock.
+    /// Returns the time on its clock.
     pub fn clock_ms(&self, now_ms: u64) -> u64 {
         const FIRST_MS: u64 = 1_000;
         now_ms - self.incarnation_start_ms + FIRST_MS
     }
 
-    /// Whether its lease is over.
+    /// Whether its lease has expired.
     pub fn has_lapsed(&self, now_ms: u64) -> bool {
         self.clock_ms(now_ms) > self.lease_end_ms
     }
 
-    /// Takes in a lease; a longer one than workers give is shortened.
-    fn hold_until(&mut self, lease_end_ms: u64, now_ms: u64) {
-        let longest_ms = self.clock_ms(now_ms) + MAX_HOLD_MS;
+    /// Extends the lease; one that is longer than workers accept is shortened.
+    fn extend_lease(&mut self, lease_end_ms: u64, now_ms: u64) {
+        let longest_ms = self.clock_ms(now_ms) + MAX_LEASE_MS;
         self.lease_end_ms = self.lease_end_ms.max(lease_end_ms.min(longest_ms));
     }
 
@@ -99,12 +99,12 @@
     }
 }
 
-/// An end in the moment in which a worker was told that it is noted.
+/// An end that was acknowledged to its worker.
 #[derive(Clone, Debug)]
 pub struct Acknowledged {
     pub worker: String,
     pub row: EndedRow,
-    /// What was stored of its job then.
+    /// The progress that was stored of its job at that time.
     pub stored: Option<ProgressRecord>,
 }
 
@@ -115,44 +115,44 @@
     pub workers: HashMap<String, FakeWorker>,
     /// Workers that do not answer.
     pub silent: Vec<String>,
-    /// Whether workers carry stops out when they have answered them.
+    /// Whether workers carry out the stops that they answer.
     pub stops_take_effect: bool,
-    /// Whether stores are carried out at once.
+    /// Whether writes to the store are carried out, at once.
     pub store_answers: bool,
-    /// Whether progress waits in `pending` until a test commits it.
+    /// Whether writes of progress wait in `pending` until a test commits them.
     pub holds_progress: bool,
     pub pending: BTreeMap<JobId, (u64, ProgressRecord)>,
     pub stored: HashMap<JobId, (u64, ProgressRecord)>,
-    /// Jobs that were removed from the store.
+    /// Jobs that were deleted from the store.
     pub forgotten: HashSet<JobId>,
-    /// Whether all stored jobs are told by now.
+    /// Whether the scheduler is informed that its view of the stored jobs is current.
     pub follows_jobs: bool,
-    /// Whether all entries of workers are told by now.
+    /// Whether the scheduler is informed that its view of the workers' entries is current.
     pub follows_entries: bool,
-    /// Ends that workers were told to be noted, in the order of the messages.
+    /// Ends that were acknowledged to workers, in the order of the messages.
     pub acknowledged: Vec<Acknowledged>,
-    /// Closed workers with what may run there.
+    /// Closed workers, with the runs that they may have.
     pub closed: HashMap<String, Option<ClosedRuns>>,
-    /// Everything that was decided, newest last.
+    /// All actions of the scheduler, newest last.
     pub actions: Vec<Action>,
     /// Every start with the worker's name and the time.
     pub starts: Vec<(RunName, String, u64)>,
     /// Every stop with the worker's name.
     pub stops: Vec<(RunName, String)>,
     pub highest_last_seen: HashMap<String, u64>,
-    /// Why workers refuse starts now.
+    /// The reason for which workers refuse all starts, if they do.
     pub refusal: Option<StartRefusal>,
-    /// Starts are lost on their way.
+    /// Whether starts are lost before they arrive.
     pub loses_starts: bool,
-    /// What workers say of the use of runs.
+    /// The usage of runs that workers report.
     pub usage: HashMap<RunName, f64>,
     /// Every throttle order, with its percentage.
     pub throttles: Vec<(RunName, u32)>,
-    /// Rack and data centre of workers that are not in the usual ones.
+    /// Rack and data centre of workers outside the default ones.
     pub places: HashMap<String, (String, String)>,
     /// The platform's machines, each with its worker.
     pub machines: BTreeMap<String, FakeMachine>,
-    /// Upkeeps as they began, with the times.
+    /// Machines whose upkeep began, with the times.
     pub upkeeps: Vec<(String, u64)>,
     /// Whether orders for upkeep are answered.
     pub upkeep_answers: bool,
@@ -160,59 +160,61 @@
     pub crashing: HashSet<TaskId>,
     /// How long after its start such a task crashes its worker.
     pub crash_after_ms: u64,
-    /// After so long another life of a crashed worker joins at its address.
+    /// Time after which the next incarnation of a crashed worker joins at its address.
     pub down_ms: u64,
-    /// Crashed workers come back under the name that they had.
+    /// Whether crashed workers come back under the same name.
     pub keeps_names: bool,
-    /// Starts are not answered, and carried out so much later.
+    /// If set, starts are not answered, and are carried out after this time.
     pub late_start_ms: Option<u64>,
-    /// Such starts, with the time, the worker and the end of the lease.
+    /// Starts to carry out late: the time, the worker, the run and the end of the lease.
     late_starts: Vec<(u64, String, RunName, u64)>,
-    /// Starts of tasks that ran already, wherever.
+    /// Starts of tasks that were running already, on any worker.
     pub overlaps: Vec<RunName>,
     /// Every run that a crash ended, with the worker's name and the time.
     pub crashed: Vec<(RunName, String, u64)>,
-    /// Crashes, returns and removals of entries that are to come.
-    to_come: Vec<(u64, String, Change)>,
+    /// Changes of workers in the future, with the time and the worker's name.
+    scheduled_changes: Vec<(u64, String, WorkerChange)>,
     polls: Vec<PendingPoll>,
 }
 
-/// A look that waits for its answer.
+/// A poll that waits for its answer.
 #[derive(Clone, Debug)]
 struct PendingPoll {
     worker: WorkerKey,
     name: String,
-    /// Of the incarnation that it reached, if any was there.
+    /// Start of the incarnation that the poll reached, if any.
     incarnation_start_ms: Option<u64>,
     sent_ms: u64,
     last_seen: u64,
 }
 
-/// What becomes of a worker by itself.
+/// A change of a worker that no order of the scheduler causes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Change {
+enum WorkerChange {
     Crash,
+    /// The next incarnation joins.
     Return,
+    /// The entry expires.
     Unlist,
 }
 
-/// The longest lease that a worker gives.
-const MAX_HOLD_MS: u64 = 10_000;
-/// An entry that its worker does not renew is removed after this long.
-const ENTRY_LAPSE_MS: u64 = 4_500;
-/// Stands between a worker's name and the number of its life.
-const LIFE_MARK: char = '~';
+/// The longest lease that a worker accepts.
+const MAX_LEASE_MS: u64 = 10_000;
+/// Time after which an entry expires that its worker does not renew.
+const ENTRY_EXPIRY_MS: u64 = 4_500;
+/// Separates a worker's name from the number of its incarnation.
+const INCARNATION_SEPARATOR: char = '~';
 
 /// A machine of the platform.
 #[derive(Clone, Debug)]
 pub struct FakeMachine {
     pub worker: String,
-    /// Down until then.
+    /// The time until which the machine is down.
     pub up_at_ms: u64,
     pub had_upkeep: bool,
 }
 
-/// How long an upkeep takes.
+/// How long the upkeep of a machine takes.
 pub const UPKEEP_MS: u64 = 2_000;
 
 pub fn queue(name: &str, priority: u32) -> Queue {
@@ -243,7 +245,7 @@
     }
 }
 
-/// What a worker says of itself that leaves within a time.
+/// Returns the entry of a worker that drains and leaves after `remaining_ms`.
 pub fn leaving_info(name: &str, remaining_ms: u64) -> WorkerInfo {
     WorkerInfo {
         draining: true,
@@ -252,10 +254,10 @@
     }
 }
 
-/// Where a worker answers: all its lives at one address.
+/// Returns the address of a worker, which all its incarnations share.
 pub fn address_of(name: &str) -> String {
-    let (place, _) = name.split_once(LIFE_MARK).unwrap_or((name, ""));
-    format!("{place}:1")
+    let (base, _) = name.split_once(INCARNATION_SEPARATOR).unwrap_or((name, ""));
+    format!("{base}:1")
 }
 
 pub fn worker_info(name: &str, rack: &str) -> WorkerInfo {
@@ -297,8 +299,8 @@
     }
 }
 
-/// How long an urgent gang of two whole workers, which wants one rack, waits where each
-/// of ten more workers is alone on its rack.
+/// Returns how long an urgent gang of two whole workers that requests one rack waits,
+/// after ten workers were added to the fleet that are each alone on a rack.
 pub fn wait_of_a_tight_gang(fleet: &mut Fleet) -> u64 {
     for rack in 2..12 {
         fleet.add_worker(&format!("w{rack}"), &format!("r{rack}"));
@@ -333,15 +335,15 @@
 }
 
 impl Fleet {
-    /// An owner of the first epoch with workers `w0`, `w1`, ... on one rack.
+    /// Creates an owner of the first epoch with workers `w0`, `w1`, ... on one rack.
     pub fn with_workers(count: usize) -> Self {
         Self::with_tuning(count, Tuning::default())
     }
 
-    /// The same under other bounds.
+    /// As [`Fleet::with_workers`], with other bounds.
     pub fn with_tuning(count: usize, tuning: Tuning) -> Self {
         let start_ms = BEGIN_MS - WARM_UP_MS;
-        let mut fleet = Self::bare(Scheduler::new(1, tuning, start_ms));
+        let mut fleet = Self::without_workers(Scheduler::new(1, tuning, start_ms));
         fleet.now_ms = start_ms;
         fleet.tell(Input::Configure(Arc::new(configuration(64))));
         for at in 0..count {
@@ -354,8 +356,8 @@
         fleet
     }
 
-    /// So many workers whose owner has just been told of a job, and started what
-    /// has room.
+    /// Creates a fleet of `count` workers to which a job was just submitted; the tasks
+    /// that fit have started.
     pub fn with_job(count: usize, record: JobRecord) -> (Self, JobId, JobRecord) {
         const BEGUN_MS: u64 = 20;
         let mut fleet = Self::with_workers(count);
@@ -364,7 +366,7 @@
         (fleet, id, record)
     }
 
-    /// The fleet of `self` under a new owner that knows what was stored.
+    /// Returns the fleet of `self` under a new owner that has read the stored state.
     pub fn next_owner(
         &self,
         epoch: u64,
@@ -375,7 +377,7 @@
         self.next_owner_under(epoch, known, jobs, earlier_owner_over)
     }
 
-    /// The same for an owner that knows `known` as the configuration.
+    /// As [`Fleet::next_owner`], with `known` as the configuration of the new owner.
     pub fn next_owner_under(
         &self,
         epoch: u64,
@@ -388,12 +390,12 @@
             let mut names: Vec<&String> = self.workers.keys().collect();
             names.sort();
             for name in names {
-                next.tell(self.known_worker(name));
+                next.tell(self.roster_input(name));
                 next.tell(Input::WorkerRegistered(next.placed_info(name, "r1")));
             }
             for (name, _) in self.scheduler.roster() {
                 if !self.workers.contains_key(&name) {
-                    next.tell(self.known_worker(&name));
+                    next.tell(self.roster_input(&name));
                 }
             }
             for (id, record) in jobs {
@@ -406,8 +408,8 @@
         })
     }
 
-    /// What the store says of a worker on the roster.
-    fn known_worker(&self, name: &str) -> Input {
+    /// Returns the input for a worker on the stored roster.
+    fn roster_input(&self, name: &str) -> Input {
         Input::RosterWorker {
             worker_name: name.to_owned(),
             address: address_of(name),
@@ -415,8 +417,8 @@
         }
     }
 
-    /// The fleet of `self` under a new owner that knows the configuration, and what
-    /// `tell` tells it.
+    /// Returns the fleet of `self` under a new owner that knows the configuration and the
+    /// inputs that `tell` sends it.
     pub fn next_owner_told(
         &self,
         epoch: u64,
@@ -436,7 +438,7 @@
         tell: impl FnOnce(&mut Self),
     ) -> Self {
         let scheduler = Scheduler::new(epoch, Tuning::default(), self.now_ms);
-        let mut next = Self::bare(scheduler);
+        let mut next = Self::without_workers(scheduler);
         next.now_ms = self.now_ms;
         next.workers = self.workers.clone();
         next.silent = self.silent.clone();
@@ -448,7 +450,7 @@
         next.late_start_ms = self.late_start_ms;
         next.late_starts = self.late_starts.clone();
         next.crashed = self.crashed.clone();
-        next.to_come = self.to_come.clone();
+        next.scheduled_changes = self.scheduled_changes.clone();
         next.stored = self.stored.clone();
         next.closed = self.closed.clone();
         next.forgotten = self.forgotten.clone();
@@ -457,7 +459,7 @@
         next
     }
 
-    fn bare(scheduler: Scheduler) -> Self {
+    fn without_workers(scheduler: Scheduler) -> Self {
         Self {
             scheduler,
             now_ms: BEGIN_MS,
@@ -493,7 +495,7 @@
             late_starts: Vec::new(),
             overlaps: Vec::new(),
             crashed: Vec::new(),
-            to_come: Vec::new(),
+            scheduled_changes: Vec::new(),
             polls: Vec::new(),
         }
     }
@@ -502,7 +504,7 @@
     pub fn add_worker(&mut self, name: &str, rack: &str) {
         let now_ms = self.now_ms;
         let worker = self.workers.entry(name.to_owned());
-        worker.or_insert_with(|| FakeWorker::born_at(now_ms));
+        worker.or_insert_with(|| FakeWorker::started_at(now_ms));
         self.tell(Input::WorkerRegistered(self.placed_info(name, rack)));
     }
 
@@ -513,7 +515,7 @@
         self.add_worker(name, rack);
     }
 
-    /// What a worker says of itself, on `rack` unless it has another place.
+    /// Returns the entry of a worker, on `rack` unless `places` names another.
     fn placed_info(&self, name: &str, rack: &str) -> WorkerInfo {
         let incarnation_start_ms = self
             .workers
@@ -531,15 +533,15 @@
         }
     }
 
-    /// A worker crashes and is back at once, under its name; its entry is not written
-    /// yet.
+    /// Crashes a worker and brings it back at once under its name; its new entry is not
+    /// written yet.
     pub fn restart_untold(&mut self, name: &str) {
         assert!(self.exit(name), "a known worker");
-        let worker = FakeWorker::born_at(self.now_ms);
+        let worker = FakeWorker::started_at(self.now_ms);
         self.workers.insert(name.to_owned(), worker);
     }
 
-    /// The same, and its entry says so.
+    /// As [`Fleet::restart_untold`], and writes the new entry.
     pub fn restart(&mut self, name: &str) {
         self.restart_untold(name);
         self.add_worker(name, "r1");
@@ -557,7 +559,7 @@
         }
     }
 
-    /// Machines that are down for their upkeep.
+    /// Returns the number of machines that are down for their upkeep.
     pub fn down(&self) -> usize {
         let machines = self.machines.values();
         machines
@@ -580,52 +582,53 @@
         self.tell(Input::WorkerUnlisted(before));
     }
 
-    /// Workers of machines whose upkeep is over join as new ones.
+    /// Adds a new worker for each machine whose upkeep is over.
     fn return_machines(&mut self) {
         let now_ms = self.now_ms;
-        let mut back = Vec::new();
+        let mut returned = Vec::new();
         for (name, machine) in &mut self.machines {
             if machine.worker.is_empty() && now_ms >= machine.up_at_ms {
                 machine.worker = format!("{name}-new");
-                back.push(machine.worker.clone());
+                returned.push(machine.worker.clone());
             }
         }
-        for worker in back {
+        for worker in returned {
             self.add_worker(&worker, "r1");
         }
     }
 
-    /// A worker crashes; another life joins at its address after `down_ms`. Members
-    /// of gangs that ran there with others end with it.
+    /// Crashes a worker. Its next incarnation joins at its address after `down_ms`. Gangs
+    /// with a member there end on all workers.
     pub fn crash(&mut self, name: &str) {
         if !self.exit(name) {
             return;
         }
         let now_ms = self.now_ms;
         let back_ms = now_ms + self.down_ms;
-        self.to_come
-            .push((back_ms, name.to_owned(), Change::Return));
-        let lapse_ms = now_ms + ENTRY_LAPSE_MS;
-        self.to_come
-            .push((lapse_ms, name.to_owned(), Change::Unlist));
+        self.scheduled_changes
+            .push((back_ms, name.to_owned(), WorkerChange::Return));
+        let expiry_ms = now_ms + ENTRY_EXPIRY_MS;
+        self.scheduled_changes
+            .push((expiry_ms, name.to_owned(), WorkerChange::Unlist));
     }
 
-    /// An incarnation exits with all that it runs; whether there was one.
+    /// Ends an incarnation of a worker with all its runs; returns whether there was one.
     fn exit(&mut self, name: &str) -> bool {
         let Some(worker) = self.workers.remove(name) else {
             return false;
         };
         for &run in worker.running.keys() {
             self.crashed.push((run, name.to_owned(), self.now_ms));
-            self.break_gang(run);
+            self.end_gang_members(run);
         }
-        self.to_come
-            .retain(|(_, other, change)| other != name || *change != Change::Crash);
+        self.scheduled_changes
+            .retain(|(_, other, change)| other != name || *change != WorkerChange::Crash);
         self.highest_last_seen.remove(name);
         true
     }
 
-    fn break_gang(&mut self, lost: RunName) {
+    /// Ends the other members of a lost run's gang, if it belongs to one.
+    fn end_gang_members(&mut self, lost: RunName) {
         let key = GroupKey::of(lost.task);
         let mut groups = self.scheduler.groups();
         if !groups.any(|group| group.key == key && group.step.gang) {
@@ -640,53 +643,56 @@
         }
     }
 
-    /// Workers crash, return and lose their entries when it is time.
-    fn change_workers(&mut self) {
+    /// Applies the scheduled changes of workers that are due.
+    fn apply_due_changes(&mut self) {
         let now_ms = self.now_ms;
-        let (due, to_come): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_come)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.scheduled_changes)
             .into_iter()
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
-        self.to_come = to_come;
+        self.scheduled_changes = later;
         for (_, name, change) in due {
             match change {
-                Change::Crash => self.crash(&name),
-                Change::Unlist if self.workers.contains_key(&name) => {}
-                Change::Unlist => self.tell(Input::WorkerUnlisted(name)),
-                Change::Return if self.keeps_names => self.add_worker(&name, "r1"),
-                Change::Return => {
-                    let (place, life) = name.split_once(LIFE_MARK).unwrap_or((&name, "1"));
-                    let life = life.parse::<u32>().expect("the number of a life") + 1;
-                    self.add_worker(&format!("{place}{LIFE_MARK}{life}"), "r1");
+                WorkerChange::Crash => self.crash(&name),
+                WorkerChange::Unlist if self.workers.contains_key(&name) => {}
+                WorkerChange::Unlist => self.tell(Input::WorkerUnlisted(name)),
+                WorkerChange::Return if self.keeps_names => self.add_worker(&name, "r1"),
+                WorkerChange::Return => {
+                    let (base, number) = name
+                        .split_once(INCARNATION_SEPARATOR)
+                        .unwrap_or((&name, "1"));
+                    let number = number.parse::<u32>().expect("an incarnation number") + 1;
+                    self.add_worker(&format!("{base}{INCARNATION_SEPARATOR}{number}"), "r1");
                 }
             }
         }
     }
 
-    /// Starts that were not answered are carried out, by whoever has the name then.
+    /// Carries out the late starts that are due, on the incarnation that now has the
+    /// worker's name.
     fn carry_out_late_starts(&mut self) {
         let now_ms = self.now_ms;
-        let (due, to_come): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late_starts)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late_starts)
             .into_iter()
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
-        self.late_starts = to_come;
+        self.late_starts = later;
         for (_, worker, name, lease_end_ms) in due {
             let there = self.workers.get_mut(&worker);
             let in_time = there.filter(|fake| lease_end_ms >= fake.clock_ms(now_ms));
             if let Some(fake) = in_time {
-                fake.hold_until(lease_end_ms, now_ms);
+                fake.extend_lease(lease_end_ms, now_ms);
                 self.start(&worker, name);
             }
         }
     }
 
-    /// Whether another life of a worker is at its address.
+    /// Whether another incarnation of a worker is at its address.
     fn is_replaced(&self, name: &str) -> bool {
         let address = address_of(name);
         let mut living = self.workers.keys();
         !self.workers.contains_key(name) && living.any(|other| address_of(other) == address)
     }
 
-    /// Tells news and carries out nothing yet.
+    /// Passes an input to the scheduler; no action is carried out yet.
     pub fn tell(&mut self, input: Input) {
         self.scheduler.handle(input, self.now_ms);
     }
@@ -702,7 +708,7 @@
         id
     }
 
-    /// Moves the clock, and carries out everything that is decided meanwhile.
+    /// Advances the clock and carries out all actions that are decided meanwhile.
     pub fn advance(&mut self, by_ms: u64) {
         const STEP_MS: u64 = 10;
         let until_ms = self.now_ms + by_ms;
@@ -718,13 +724,13 @@
                 self.tell(Input::EntriesRead { sent_ms });
             }
             self.return_machines();
-            self.change_workers();
+            self.apply_due_changes();
             self.carry_out_late_starts();
             self.settle();
         }
     }
 
-    /// Carries out decisions until nothing follows at this moment.
+    /// Carries out actions until no more follow at the present time.
     pub fn settle(&mut self) {
         for _ in 0..50 {
             let actions = self.scheduler.decide(self.now_ms);
@@ -739,7 +745,7 @@
         }
     }
 
-    /// What runs, by worker.
+    /// Returns all runs with the names of their workers, sorted.
     pub fn running(&self) -> Vec<(String, RunName)> {
         let mut running: Vec<(String, RunName)> = self
             .workers
@@ -756,7 +762,7 @@
         fake.end(name, kind);
     }
 
-    /// Ends whatever runs of a job.
+    /// Ends all runs of a job.
     pub fn end_all(&mut self, job: JobId, kind: EndKind) {
         for fake in self.workers.values_mut() {
             let names: Vec<RunName> = fake.running.keys().copied().collect();
@@ -776,19 +782,19 @@
             } => {
                 let name = callee.worker_name.to_string();
                 if *callee.address != *address_of(&name) || self.is_replaced(&name) {
-                    // Whoever is there is another.
+                    // Another incarnation is at that address.
                     self.tell(Input::PollFailed {
                         worker: callee.worker,
                         outcome: CallOutcome::OtherIncarnation,
                     });
                     return;
                 }
-                self.note_acknowledged(&name, last_seen);
+                self.record_acknowledged(&name, last_seen);
                 let seen = self.highest_last_seen.entry(name.clone()).or_default();
                 *seen = last_seen.max(*seen);
                 let now_ms = self.now_ms;
                 if let Some(fake) = self.workers.get_mut(&name) {
-                    fake.hold_until(lease_end_ms.unwrap_or(0), now_ms);
+                    fake.extend_lease(lease_end_ms.unwrap_or(0), now_ms);
                 }
                 self.polls.push(PendingPoll {
                     worker: callee.worker,
@@ -820,7 +826,7 @@
                     }
                     (true, None) => {
                         if let Some(fake) = self.workers.get_mut(&worker) {
-                            fake.hold_until(lease_end_ms, now_ms);
+                            fake.extend_lease(lease_end_ms, now_ms);
                         }
                         self.start(&worker, name)
                     }
@@ -932,8 +938,8 @@
         }
     }
 
-    /// Stores the progress of a job that waits for it; the scheduler is told
-    /// of it unless the store's answer is lost.
+    /// Commits the pending write of a job's progress. If `answered` is false, the store's
+    /// answer is lost, and the scheduler does not learn of the commit.
     pub fn commit(&mut self, job: JobId, answered: bool) {
         let Some((change, progress)) = self.pending.get(&job).cloned() else {
             return;
@@ -945,7 +951,8 @@
         }
     }
 
-    fn note_acknowledged(&mut self, worker: &str, last_seen: u64) {
+    /// Records the ends that a poll with `last_seen` acknowledges for the first time.
+    fn record_acknowledged(&mut self, worker: &str, last_seen: u64) {
         let before = self.highest_last_seen.get(worker).copied().unwrap_or(0);
         let Some(fake) = self.workers.get(worker) else {
             return;
@@ -984,7 +991,8 @@
         }
         if self.crashing.contains(&name.task) {
             let at_ms = self.now_ms + self.crash_after_ms;
-            self.to_come.push((at_ms, worker.to_owned(), Change::Crash));
+            self.scheduled_changes
+                .push((at_ms, worker.to_owned(), WorkerChange::Crash));
         }
         CallOutcome::Done
     }
@@ -1000,7 +1008,7 @@
                 sent_ms,
                 last_seen,
             } = poll;
-            // A look does not outlive the incarnation that it reached.
+            // A poll ends with the incarnation that it reached.
             let there = self.workers.get(name).map(|fake| fake.incarnation_start_ms);
             let silent =
                 self.silent.contains(name) || there.is_none() || there != incarnation_start_ms;
@@ -1014,8 +1022,8 @@
             }
             let fake = self.workers.get_mut(name).expect("a known worker");
             fake.ended.retain(|row| row.number > last_seen);
-            // A look waits for news: it is answered at once only if there is
-            // an end, and after a while otherwise.
+            // A poll is answered at once if there is an end to report, and after a wait
+            // otherwise.
             const POLL_WAIT_MS: u64 = 100;
             if fake.ended.is_empty() && self.now_ms < sent_ms + POLL_WAIT_MS {
                 self.polls.push(poll);
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -1,6 +1,5 @@
-//! A replay of loads in virtual time: streams of jobs as the users' sheets
-//! describe them, on simulated workers, decided by the scheduler under one
-//! rule of order or another.
+//! Replays loads in virtual time: streams of jobs as the users' workload specifications
+//! describe them, on simulated workers, scheduled under one of the ordering policies.
 
 #[path = "replay/emptying.rs"]
 mod emptying;
@@ -13,7 +12,7 @@
 
 pub use emptying::OrderFigures;
 use emptying::{
-    Order,
+    SimOrder,
     worst_moment, //
 };
 pub use figures::Figures;
@@ -66,13 +65,13 @@
 const BEGIN_MS: u64 = 1_000_000;
 const TICK_MS: u64 = 10;
 const WARM_UP_MS: u64 = 1_000;
-/// Length of the stream of jobs, as of a day on the sheets.
+/// Length of the stream of jobs; it stands for a day of the workload specifications.
 const STREAM_MS: u64 = 34_000;
-/// Time for what was accepted to end.
+/// Time after the stream in which accepted jobs may end.
 const AFTER_MS: u64 = 30_000;
-/// Late work earns up to this many times its objective.
+/// A late job has utility until this many times the length of its objective.
 const LATE_FACTOR: u64 = 3;
-/// How long a client tries to hand a job in.
+/// Time for which a client tries to submit a job.
 const CLIENT_TRIES_MS: u64 = 3_000;
 
 #[derive(Clone, Debug)]
@@ -81,15 +80,20 @@
     class: usize,
     account: usize,
     arrives_ms: u64,
-    /// `None` if its client gave up while the store was silent.
+    /// `None` if its client gave up during a store outage.
     accepted_ms: Option<u64>,
+    /// Length of its objective.
     objective_ms: u64,
-    hopeless: bool,
+    /// All its tasks fail, wherever they run.
+    always_fails: bool,
+    /// Work of all its tasks, in thousandths of a core times milliseconds.
     work: f64,
-    first_begun: BTreeMap<u32, u64>,
+    /// The time of the first start of each task.
+    first_starts: BTreeMap<u32, u64>,
+    /// When it completed, or failed if it always fails; `u64::MAX` for other failures.
     ended_ms: Option<u64>,
-    /// Since when it waits within its account's guarantee.
-    promised_since_ms: Option<u64>,
+    /// Since when it has waited within its account's guarantee.
+    guaranteed_since_ms: Option<u64>,
 }
 
 impl SimJob {
@@ -106,8 +110,9 @@
         step.count * step.needs.accelerators
     }
 
+    /// Whether all tasks of the first step have started.
     fn has_begun(&self) -> bool {
-        self.first_begun.len() == self.record.spec.steps[0].count as usize
+        self.first_starts.len() == self.record.spec.steps[0].count as usize
     }
 }
 
@@ -119,42 +124,44 @@
     random: StdRng,
     workers: Vec<SimWorker>,
     jobs: BTreeMap<JobId, SimJob>,
+    /// Open polls: the worker, the time of sending and the last acknowledged end.
     polls: Vec<(WorkerKey, u64, u64)>,
-    stores: Vec<(u64, JobId, u64)>,
+    /// Writes of progress: the time of the store's answer, the job and its change.
+    writes: Vec<(u64, JobId, u64)>,
     thrown_away_core_s: f64,
-    twice: usize,
+    double_runs: usize,
     guaranteed_wait_ms: u64,
-    starts_in_silence: usize,
-    /// Jobs that were accepted, in the order of their times.
+    starts_in_outage: usize,
+    /// Number of jobs that were passed to the scheduler so far.
     arrived: usize,
-    order: Option<Order>,
-    /// How long each decision took, if that is asked for.
+    order: Option<SimOrder>,
+    /// How long each decision took, if that is measured.
     decisions: Option<Vec<Duration>>,
-    /// The store answers nothing from the first to the second.
-    silent_ms: Range<u64>,
+    /// The store outage.
+    outage_ms: Range<u64>,
 }
 
-/// Replays a load with the given rule of order.
-pub fn replay(load: &Load, order: OrderingPolicy, seed: u64) -> Figures {
-    let mut replay = Replay::begin(load, order, seed);
+/// Replays a load under the given ordering policy.
+pub fn replay(load: &Load, policy: OrderingPolicy, seed: u64) -> Figures {
+    let mut replay = Replay::begin(load, policy, seed);
     if load.emptied_ms > 0 {
-        replay.order = worst_moment(load, seed).map(Order::at);
+        replay.order = worst_moment(load, seed).map(SimOrder::at);
     }
     replay.play(load, |_, _| {});
     replay.figures(BEGIN_MS + WARM_UP_MS)
 }
 
-/// What decisions cost on a fleet.
+/// The durations of the scheduler's decisions in a replay.
 #[derive(Clone, Debug)]
 pub struct DecisionTimes {
-    /// How long each took.
+    /// The duration of each decision.
     pub took: Vec<Duration>,
-    /// Tasks that waited at the end.
+    /// Number of tasks that waited at the end.
     pub waiting: usize,
 }
 
-/// Replays the first `until_ms` of a load, and times its decisions from half of that
-/// time on.
+/// Replays the first `until_ms` of a load and measures the decisions in the second half
+/// of that time.
 pub fn decision_times(load: &Load, seed: u64, until_ms: u64) -> DecisionTimes {
     let mut replay = Replay::begin(load, OrderingPolicy::Utility, seed);
     replay.play_to(load, until_ms / 2, |_, _| {});
@@ -168,12 +175,13 @@
 }
 
 impl Replay {
-    /// Plays the whole stream; `each` sees the time since it began after each tick.
+    /// Plays the whole stream. `each` is called after each tick with the time since the
+    /// stream began.
     fn play(&mut self, load: &Load, each: impl FnMut(&Self, u64)) {
         self.play_to(load, STREAM_MS + AFTER_MS, each);
     }
 
-    /// Plays on until so long after the stream began.
+    /// Plays on until `until_ms` after the stream began.
     fn play_to(&mut self, load: &Load, until_ms: u64, mut each: impl FnMut(&Self, u64)) {
         let (from_ms, to_ms) = (STREAM_MS / 3, 2 * STREAM_MS / 3);
         let jobs = self.jobs.iter();
@@ -181,11 +189,11 @@
             .filter_map(|(&id, job)| Some((job.accepted_ms?, id)))
             .collect();
         arrivals.sort();
-        let stream_ms = BEGIN_MS + WARM_UP_MS;
-        let mut cancelled = self.now_ms >= stream_ms + STREAM_MS / 2;
-        while self.now_ms < stream_ms + until_ms {
+        let stream_start_ms = BEGIN_MS + WARM_UP_MS;
+        let mut cancelled = self.now_ms >= stream_start_ms + STREAM_MS / 2;
+        while self.now_ms < stream_start_ms + until_ms {
             self.now_ms += TICK_MS;
-            let since_ms = self.now_ms.saturating_sub(stream_ms);
+            let since_ms = self.now_ms.saturating_sub(stream_start_ms);
             self.set_bad_workers(load, (from_ms..to_ms).contains(&since_ms));
             while let Some(&(_, id)) = arrivals
                 .get(self.arrived)
@@ -198,41 +206,42 @@
                 cancelled = true;
                 self.cancel(load.cancelled);
             }
-            self.give_order(load, since_ms);
+            self.update_order(load, since_ms);
             self.tick();
             each(self, since_ms);
         }
     }
 
-    /// When a job is accepted that is first handed in at `arrives_ms`; `None` if its
-    /// client gives up before the store answers.
+    /// Returns when a job is accepted that is first submitted at `arrives_ms`; `None` if
+    /// its client gives up before the store answers.
     fn accepted_ms(&self, arrives_ms: u64) -> Option<u64> {
-        if !self.silent_ms.contains(&arrives_ms) {
+        if !self.outage_ms.contains(&arrives_ms) {
             return Some(arrives_ms);
         }
-        let in_time = self.silent_ms.end <= arrives_ms + CLIENT_TRIES_MS;
-        in_time.then_some(self.silent_ms.end)
+        let in_time = self.outage_ms.end <= arrives_ms + CLIENT_TRIES_MS;
+        in_time.then_some(self.outage_ms.end)
     }
 
-    /// When the store answers what it is sent now.
+    /// Returns when the store answers a request that is sent now.
     fn store_answers_ms(&self) -> u64 {
-        match self.silent_ms.contains(&self.now_ms) {
-            true => self.silent_ms.end,
+        match self.outage_ms.contains(&self.now_ms) {
+            true => self.outage_ms.end,
             false => self.now_ms,
         }
     }
 
-    fn begin(load: &Load, order: OrderingPolicy, seed: u64) -> Self {
+    /// Creates a replay with all jobs drawn and all workers polled once.
+    fn begin(load: &Load, policy: OrderingPolicy, seed: u64) -> Self {
         let site = load.site;
         let tuning = Tuning {
-            order,
+            order: policy,
             stop_ms: site.stop_ms,
             reclaim_ms: site.reclaim_ms,
             checkpoint_ms: site.checkpoint_ms,
             restore_ms: site.restore_ms,
             ..Tuning::default()
         };
-        let silent_from_ms = BEGIN_MS + WARM_UP_MS + STREAM_MS / 3;
+        let outage_from_ms = BEGIN_MS + WARM_UP_MS + STREAM_MS / 3;
         let mut replay = Self {
             site,
             scheduler: Scheduler::new(1, tuning, BEGIN_MS),
@@ -241,21 +250,21 @@
             workers: vec![SimWorker::default(); site.workers],
             jobs: BTreeMap::new(),
             polls: Vec::new(),
-            stores: Vec::new(),
+            writes: Vec::new(),
             thrown_away_core_s: 0.0,
-            twice: 0,
+            double_runs: 0,
             guaranteed_wait_ms: 0,
-            starts_in_silence: 0,
+            starts_in_outage: 0,
             arrived: 0,
             order: None,
             decisions: None,
-            silent_ms: silent_from_ms..silent_from_ms + load.silent_ms,
+            outage_ms: outage_from_ms..outage_from_ms + load.outage_ms,
         };
-        replay.tell(Input::Configure(Arc::new(configuration(site))));
+        replay.send_input(Input::Configure(Arc::new(configuration(site))));
         for at in 0..site.workers {
-            replay.tell(Input::WorkerRegistered(worker_info(site, at)));
+            replay.send_input(Input::WorkerRegistered(worker_info(site, at)));
         }
-        replay.tell(Input::StoredStateRead {
+        replay.send_input(Input::StoredStateRead {
             earlier_owner_over: true,
         });
         replay.draw_jobs(load);
@@ -266,19 +275,21 @@
         replay
     }
 
-    fn tell(&mut self, input: Input) {
+    fn send_input(&mut self, input: Input) {
         self.scheduler.handle(input, self.now_ms);
     }
 
-    /// Draws a value with the mean given, long-tailed up to `most`.
+    /// Draws a value from an exponential distribution with the given mean, cut off at
+    /// `most`.
     fn draw(&mut self, mean: f64, most: f64) -> f64 {
         let uniform: f64 = self.random.random_range(0.001..1.0);
         (-uniform.ln() * mean).min(most)
     }
 
+    /// Draws the stream of jobs of all classes.
     fn draw_jobs(&mut self, load: &Load) {
         let site = self.site;
-        let stream_ms = BEGIN_MS + WARM_UP_MS;
+        let stream_start_ms = BEGIN_MS + WARM_UP_MS;
         let mut id = 0;
         for (class_at, class) in site.classes.iter().enumerate() {
             let mut at_ms = 0.0;
@@ -292,7 +303,7 @@
                     break;
                 }
                 id += 1;
-                let job = self.draw_job(class_at, class, stream_ms + at_ms as u64);
+                let job = self.draw_job(class_at, class, stream_start_ms + at_ms as u64);
                 self.jobs.insert(JobId(id), job);
             }
         }
@@ -320,7 +331,7 @@
             },
             estimated_ms: estimate as u64,
             gang: class.gang && width > 1,
-            same_rack: self.random.random_range(0.0..1.0) < class.tight,
+            same_rack: self.random.random_range(0.0..1.0) < class.same_rack,
             data_rack: if near_data {
                 format!("r{rack}")
             } else {
@@ -355,23 +366,24 @@
             arrives_ms,
             accepted_ms: self.accepted_ms(arrives_ms),
             objective_ms,
-            hopeless: self.random.random_range(0.0..1.0) < class.hopeless,
+            always_fails: self.random.random_range(0.0..1.0) < class.always_failing,
             work: weight,
-            first_begun: BTreeMap::new(),
+            first_starts: BTreeMap::new(),
             ended_ms: None,
-            promised_since_ms: None,
+            guaranteed_since_ms: None,
         }
     }
 
     fn arrive(&mut self, id: JobId) {
         let record = self.jobs[&id].record.clone();
-        self.tell(Input::JobStored {
+        self.send_input(Input::JobStored {
             id,
             record,
             progress: None,
         });
     }
 
+    /// Cancels a share of the open jobs, drawn at random.
     fn cancel(&mut self, share: f64) {
         let open: Vec<JobId> = self
             .jobs
@@ -382,18 +394,20 @@
         for id in open {
             if self.random.random_range(0.0..1.0) < share {
                 self.jobs.remove(&id);
-                self.tell(Input::JobCancelled(id));
+                self.send_input(Input::JobCancelled(id));
             }
         }
     }
 
+    /// Makes the load's shares of workers slow, failing and hanging if `bad`, and normal
+    /// otherwise.
     fn set_bad_workers(&mut self, load: &Load, bad: bool) {
         let workers = self.site.workers;
-        let part = |share: f64| (share * workers as f64).round() as usize;
-        let (slow, failing) = (part(load.slow), part(load.failing));
-        let hanging = part(load.hanging);
+        let number_of = |share: f64| (share * workers as f64).round() as usize;
+        let (slow, failing) = (number_of(load.slow), number_of(load.failing));
+        let hanging = number_of(load.hanging);
         for (at, worker) in self.workers.iter_mut().enumerate() {
-            // Spread over the racks.
+            // Spreads the bad workers over the racks.
             let place = at * 7 % workers;
             let usual = self.site.slowness[at % self.site.slowness.len()];
             worker.slowness = if bad && place < slow { 6.5 } else { usual };
@@ -403,17 +417,18 @@
         }
     }
 
+    /// Carries out everything that happens at the present time.
     fn tick(&mut self) {
-        if !self.silent_ms.contains(&self.now_ms) {
-            self.tell(Input::EpochConfirmed(self.now_ms));
+        if !self.outage_ms.contains(&self.now_ms) {
+            self.send_input(Input::EpochConfirmed(self.now_ms));
         }
         let now_ms = self.now_ms;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.stores)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.writes)
             .into_iter()
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
-        self.stores = later;
+        self.writes = later;
         for (_, job, change) in due {
-            self.tell(Input::ProgressStored { job, change });
+            self.send_input(Input::ProgressStored { job, change });
         }
         for at in 0..self.site.workers {
             self.end_runs(at);
@@ -431,22 +446,22 @@
         }
         let scheduler = &self.scheduler;
         for (&id, job) in &mut self.jobs {
-            let view = scheduler.job_status(id);
+            let status = scheduler.job_status(id);
             if job.ended_ms.is_none()
-                && matches!(view, Some(JobStatus::Completed | JobStatus::Failed))
+                && matches!(status, Some(JobStatus::Completed | JobStatus::Failed))
             {
-                let done = view == Some(JobStatus::Completed) || job.hopeless;
+                let done = status == Some(JobStatus::Completed) || job.always_fails;
                 job.ended_ms = Some(if done { now_ms } else { u64::MAX });
             }
         }
-        self.note_promised();
+        self.record_guaranteed_waits();
     }
 
     fn decide(&mut self) -> Vec<Action> {
-        let began = Instant::now();
+        let started = Instant::now();
         let actions = self.scheduler.decide(self.now_ms);
         if let Some(decisions) = &mut self.decisions {
-            decisions.push(began.elapsed());
+            decisions.push(started.elapsed());
         }
         actions
     }
@@ -455,9 +470,9 @@
         job.is_accepted(self.now_ms) && job.ended_ms.is_none()
     }
 
-    /// Notes how long urgent work waits though its account's urgent work needs no
-    /// more than the account's guarantee.
-    fn note_promised(&mut self) {
+    /// Records how long urgent jobs wait while the urgent jobs of their account together
+    /// need no more than the account is guaranteed.
+    fn record_guaranteed_waits(&mut self) {
         let mut needs = [0; ACCOUNT_SHARES.len()];
         for job in self.jobs.values().filter(|job| self.is_open(job)) {
             if self.site.classes[job.class].priority == 0 {
@@ -470,10 +485,10 @@
             let open = job.is_accepted(now_ms) && job.ended_ms.is_none();
             let within = needs[job.account] <= site.guaranteed_accelerators;
             if !open || !within || job.has_begun() {
-                job.promised_since_ms = None;
+                job.guaranteed_since_ms = None;
                 continue;
             }
-            let waited_ms = now_ms - *job.promised_since_ms.get_or_insert(now_ms);
+            let waited_ms = now_ms - *job.guaranteed_since_ms.get_or_insert(now_ms);
             self.guaranteed_wait_ms = self.guaranteed_wait_ms.max(waited_ms);
         }
     }
--- a/tests/support/replay/emptying.rs
+++ b/tests/support/replay/emptying.rs
@@ -1,5 +1,5 @@
-//! A data centre that is emptied in a replay: the worst moment for the order, and
-//! what is measured of it.
+//! An operators' order in a replay to empty a data centre: chooses the worst moment for
+//! the order and measures its effects.
 
 use super::loads::{
     DATA_CENTRES,
@@ -17,79 +17,80 @@
 };
 use std::ops::Range;
 
-/// The store's revision of the order: any that is not 0.
+/// The store's revision of the order: any value but 0.
 const REVISION: u64 = 10;
 
-/// What the operators' order meets when it comes.
+/// A time for the order, with the state of the fleet at that time.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
-    /// Since the stream of jobs began.
+    /// Time since the stream of jobs began.
     pub since_ms: u64,
-    /// Place of the data centre in the list.
+    /// Index of the data centre to empty.
     data_centre: usize,
     /// Accelerators for which gangs wait.
     pub waiting_gang_accelerators: u32,
-    /// Accelerators that work which may be taken back uses beyond the surplus.
+    /// Accelerators that preemptible work uses beyond those that no account is
+    /// guaranteed.
     pub lent_accelerators: u32,
 }
 
-/// What was measured of an order.
+/// The measured effects of an order.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderFigures {
-    /// What it met.
+    /// The moment at which the order was given.
     pub moment: Moment,
-    /// Starts that workers of the data centre were sent while it was in force.
+    /// Number of starts sent to workers of the data centre while the order was in force.
     pub starts: usize,
-    /// The latest of them, from when the order was known.
+    /// Time of the latest of these starts since the order was known.
     pub latest_start_ms: Option<u64>,
-    /// The first start there after it was given back.
+    /// Time from the withdrawal of the order to the first start there.
     pub used_again_ms: Option<u64>,
 }
 
-/// An order in a replay: to come, in force, or taken back.
+/// An order in a replay: planned, in force or withdrawn.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct SimOrder {
     moment: Moment,
     given_ms: Option<u64>,
-    back_ms: Option<u64>,
+    withdrawn_ms: Option<u64>,
     starts: usize,
     latest_start_ms: Option<u64>,
     used_again_ms: Option<u64>,
 }
 
-impl Order {
-    /// An order that is to come at a moment.
+impl SimOrder {
+    /// Plans an order for a moment.
     pub fn at(moment: Moment) -> Self {
         Self {
             moment,
             given_ms: None,
-            back_ms: None,
+            withdrawn_ms: None,
             starts: 0,
             latest_start_ms: None,
             used_again_ms: None,
         }
     }
 
-    /// Notes a start that a worker of a data centre was sent.
-    pub fn note_start(&mut self, data_centre: usize, now_ms: u64) {
+    /// Records a start sent to a worker of a data centre.
+    pub fn record_start(&mut self, data_centre: usize, now_ms: u64) {
         if data_centre != self.moment.data_centre {
             return;
         }
         let Some(given_ms) = self.given_ms else {
             return;
         };
-        match self.back_ms {
+        match self.withdrawn_ms {
             None => {
                 self.starts += 1;
                 self.latest_start_ms = Some(now_ms - given_ms);
             }
-            Some(back_ms) => {
-                self.used_again_ms.get_or_insert(now_ms - back_ms);
+            Some(withdrawn_ms) => {
+                self.used_again_ms.get_or_insert(now_ms - withdrawn_ms);
             }
         }
     }
 
-    /// What was measured of it.
+    /// Returns the measured effects.
     pub fn figures(&self) -> OrderFigures {
         OrderFigures {
             moment: self.moment,
@@ -100,19 +101,20 @@
     }
 }
 
-/// The first half of the burst, so that an order is in force for much of it.
-fn moments_ms() -> Range<u64> {
+/// Returns the times at which the order may be given: the first half of the burst, so
+/// that the order is in force for much of it.
+fn candidate_moments_ms() -> Range<u64> {
     STREAM_MS / 3..STREAM_MS / 2
 }
 
-/// The moment at which gangs wait for most while lent room is in use, in a replay
-/// of the load without an order. The same for every rule of order, so that the
-/// figures of the rules compare.
+/// Returns the moment at which gangs wait for the most accelerators while lent ones are in
+/// use, in a replay of the load without an order. It does not depend on the ordering
+/// policy that is measured, so the figures of the policies are comparable.
 pub fn worst_moment(load: &Load, seed: u64) -> Option<Moment> {
     let mut replay = Replay::begin(load, OrderingPolicy::Utility, seed);
     let mut worst: Option<Moment> = None;
     replay.play(load, |replay, since_ms| {
-        if !moments_ms().contains(&since_ms) {
+        if !candidate_moments_ms().contains(&since_ms) {
             return;
         }
         let moment = replay.moment(since_ms);
@@ -126,58 +128,58 @@
 }
 
 impl Replay {
-    /// What an order would meet now; it names the data centre in which most of
-    /// what may be taken back runs.
+    /// Returns the present moment, for an order that empties the data centre in which
+    /// preemptible work uses the most accelerators.
     fn moment(&self, since_ms: u64) -> Moment {
         let open = self.jobs.values().filter(|job| self.is_open(job));
-        let waiting = open.filter(|job| job.is_gang() && job.first_begun.is_empty());
-        let (mut in_each, mut taken) = ([0; DATA_CENTRES.len()], 0);
+        let waiting = open.filter(|job| job.is_gang() && job.first_starts.is_empty());
+        let (mut by_data_centre, mut total) = ([0; DATA_CENTRES.len()], 0);
         for at in 0..self.site.workers {
-            let used = self.lent_on(at);
-            in_each[self.site.data_centre(at)] += used;
-            taken += used;
+            let used = self.preemptible_on(at);
+            by_data_centre[self.site.data_centre(at)] += used;
+            total += used;
         }
-        let data_centre = (0..DATA_CENTRES.len()).max_by_key(|&at| in_each[at]);
+        let data_centre = (0..DATA_CENTRES.len()).max_by_key(|&at| by_data_centre[at]);
         Moment {
             since_ms,
             data_centre: data_centre.unwrap_or(0),
             waiting_gang_accelerators: waiting.map(SimJob::first_step_accelerators).sum(),
-            lent_accelerators: taken.saturating_sub(self.site.surplus_accelerators()),
+            lent_accelerators: total.saturating_sub(self.site.surplus_accelerators()),
         }
     }
 
-    /// Accelerators on a worker in use by work that may be taken back.
-    fn lent_on(&self, at: usize) -> u32 {
+    /// Returns the accelerators on a worker that preemptible work uses.
+    fn preemptible_on(&self, at: usize) -> u32 {
         let running = self.workers[at].running.iter();
-        let lent = running.filter(|(name, _)| {
+        let preemptible = running.filter(|(name, _)| {
             let job = self.jobs.get(&name.task.job);
             job.is_some_and(|job| self.site.classes[job.class].priority > 0)
         });
-        lent.map(|(_, run)| run.room.accelerators).sum()
+        preemptible.map(|(_, run)| run.resources.accelerators).sum()
     }
 
-    /// Gives the order when its moment has come, and takes it back later.
-    pub(super) fn give_order(&mut self, load: &Load, since_ms: u64) {
+    /// Gives the order at its moment, and withdraws it later.
+    pub(super) fn update_order(&mut self, load: &Load, since_ms: u64) {
         let now_ms = self.now_ms;
         let Some(order) = &mut self.order else {
             return;
         };
-        let back_at_ms = order.moment.since_ms + load.emptied_ms;
+        let withdraw_at_ms = order.moment.since_ms + load.emptied_ms;
         if order.given_ms.is_none() && since_ms >= order.moment.since_ms {
             order.given_ms = Some(now_ms);
             let data_centre = DATA_CENTRES[order.moment.data_centre].to_owned();
-            self.tell_orders(vec![EmptyingOrder {
+            self.send_orders(vec![EmptyingOrder {
                 data_centre,
                 revision: REVISION,
             }]);
-        } else if order.back_ms.is_none() && since_ms >= back_at_ms {
-            order.back_ms = Some(now_ms);
-            self.tell_orders(Vec::new());
+        } else if order.withdrawn_ms.is_none() && since_ms >= withdraw_at_ms {
+            order.withdrawn_ms = Some(now_ms);
+            self.send_orders(Vec::new());
         }
     }
 
-    fn tell_orders(&mut self, orders: Vec<EmptyingOrder>) {
-        self.tell(Input::EmptyingOrdersRead {
+    fn send_orders(&mut self, orders: Vec<EmptyingOrder>) {
+        self.send_input(Input::EmptyingOrdersRead {
             orders,
             checked_ms: self.now_ms,
         });
--- a/tests/support/replay/figures.rs
+++ b/tests/support/replay/figures.rs
@@ -1,46 +1,52 @@
-//! What a replay measured.
+//! Computes the figures of a replay from its jobs.
 
 use super::loads::ACCOUNT_SHARES;
 use super::{
     LATE_FACTOR,
-    Order,
     OrderFigures,
     Replay,
     STREAM_MS,
-    SimJob, //
+    SimJob,
+    SimOrder, //
 };
 
+/// Length of the windows of arrival over which utility is compared.
 const WINDOW_MS: u64 = 2_000;
 
-/// What a replay measured.
+/// The figures of a replay.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub jobs: usize,
-    /// Share of jobs that ended within their objective, and late.
+    /// Share of jobs that ended within their objective.
     pub on_time: f64,
+    /// Share of jobs that ended late but had utility.
     pub late: f64,
-    /// Worth earned against worth owed, in all, in the two worst windows, of
-    /// the worst account, of the worst class and of the largest tenth.
-    pub worth: f64,
+    /// Share of the possible utility that was reached.
+    pub utility: f64,
+    /// The same for the jobs that arrived in the two worst windows.
     pub worst_windows: f64,
+    /// The same for the worst account.
     pub worst_account: f64,
+    /// The same for the worst class.
     pub worst_class: f64,
+    /// The same for the tenth of the jobs with the most work.
     pub largest_tenth: f64,
+    /// Core-seconds of runs without checkpoints that did not complete.
     pub thrown_away_core_s: f64,
     pub reclaim_p99_ms: u64,
     /// Longest time for which an urgent job within its account's guarantee had
     /// not begun.
     pub guaranteed_wait_ms: u64,
-    /// Starts while the store was silent.
-    pub starts_in_silence: usize,
-    /// Of the operators' order, where the load has one.
+    /// Number of starts during the store outage.
+    pub starts_in_outage: usize,
+    /// Effects of the operators' order, if the load has one.
     pub order: Option<OrderFigures>,
-    /// Tasks that ran twice at a time; has to be 0.
-    pub twice: usize,
+    /// Number of starts of tasks that were running already; has to be 0.
+    pub double_runs: usize,
 }
 
 impl Replay {
-    pub(super) fn figures(&self, stream_ms: u64) -> Figures {
+    pub(super) fn figures(&self, stream_start_ms: u64) -> Figures {
         let mean_work: Vec<f64> = (0..self.site.classes.len())
             .map(|class| {
                 let jobs = self.jobs.values().filter(|job| job.class == class);
@@ -50,7 +56,8 @@
                 sum / f64::max(count, 1.0)
             })
             .collect();
-        let owed_and_earned: Vec<(&SimJob, f64, f64)> = self
+        // Each job with its possible utility and the utility that it reached.
+        let utilities: Vec<(&SimJob, f64, f64)> = self
             .jobs
             .values()
             .map(|job| {
@@ -59,27 +66,34 @@
                 let took_ms = job
                     .ended_ms
                     .map_or(u64::MAX, |at| at.saturating_sub(job.arrives_ms));
-                let earned = if took_ms <= job.objective_ms {
-                    class.worth
+                let reached = if took_ms <= job.objective_ms {
+                    class.utility
                 } else if took_ms <= LATE_FACTOR * job.objective_ms {
-                    class.late_worth
+                    class.late_utility
                 } else {
                     0.0
                 };
-                (job, class.worth * ratio, earned * ratio)
+                (job, class.utility * ratio, reached * ratio)
             })
             .collect();
         let share = |chosen: &dyn Fn(&SimJob) -> bool| {
-            let rows = owed_and_earned.iter().filter(|(job, ..)| chosen(job));
-            let (owed, earned) = rows.fold((0.0, 0.0), |(owed, earned), (_, own, got)| {
-                (owed + own, earned + got)
-            });
-            if owed > 0.0 { earned / owed } else { 1.0 }
+            let rows = utilities.iter().filter(|(job, ..)| chosen(job));
+            let (possible, reached) = rows.fold(
+                (0.0, 0.0),
+                |(possible, reached), (_, own_possible, own_reached)| {
+                    (possible + own_possible, reached + own_reached)
+                },
+            );
+            if possible > 0.0 {
+                reached / possible
+            } else {
+                1.0
+            }
         };
         let worst = |shares: Vec<f64>| shares.into_iter().fold(1.0, f64::min);
         let mut windows: Vec<f64> = (0..STREAM_MS / WINDOW_MS)
             .map(|at| {
-                let from_ms = stream_ms + at * WINDOW_MS;
+                let from_ms = stream_start_ms + at * WINDOW_MS;
                 share(&|job| (from_ms..from_ms + WINDOW_MS).contains(&job.arrives_ms))
             })
             .collect();
@@ -102,7 +116,7 @@
             jobs: self.jobs.len(),
             on_time: ended(false),
             late: ended(true),
-            worth: share(&|_| true),
+            utility: share(&|_| true),
             worst_windows: windows.iter().take(2).sum::<f64>() / 2.0,
             worst_account: worst(
                 (0..ACCOUNT_SHARES.len())
@@ -118,13 +132,14 @@
             thrown_away_core_s: self.thrown_away_core_s,
             reclaim_p99_ms: self.reclaim_p99_ms(),
             guaranteed_wait_ms: self.guaranteed_wait_ms,
-            starts_in_silence: self.starts_in_silence,
-            order: self.order.as_ref().map(Order::figures),
-            twice: self.twice,
+            starts_in_outage: self.starts_in_outage,
+            order: self.order.as_ref().map(SimOrder::figures),
+            double_runs: self.double_runs,
         }
     }
 
-    /// From acceptance until all first tasks of an urgent job have begun.
+    /// Returns the p99 of the time from the acceptance of an urgent job until all tasks of
+    /// its first step have begun.
     fn reclaim_p99_ms(&self) -> u64 {
         let urgent = self
             .jobs
@@ -132,7 +147,7 @@
             .filter(|job| self.site.classes[job.class].priority == 0);
         let mut waits: Vec<u64> = urgent
             .filter_map(|job| {
-                let last_ms = job.first_begun.values().max().filter(|_| job.has_begun());
+                let last_ms = job.first_starts.values().max().filter(|_| job.has_begun());
                 let last_ms = last_ms.copied().unwrap_or(self.now_ms);
                 Some(last_ms.saturating_sub(job.accepted_ms?))
             })
--- a/tests/support/replay/loads.rs
+++ b/tests/support/replay/loads.rs
@@ -1,43 +1,55 @@
-//! The loads that are replayed: fleets, classes of work by the users' sheets, and
-//! what goes wrong.
+//! Defines the loads that are replayed: fleets, classes of work by the users' workload
+//! specifications, and faults.
 
 use fuchsiaslip::scheduler::Resources;
 
 /// Data centres of every fleet.
 pub const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
-/// Accounts, the first of them large.
+/// Shares of the accounts in the jobs.
 pub const ACCOUNT_SHARES: [f64; 4] = [0.55, 0.2, 0.15, 0.1];
 
-/// A class of work, by the sheets.
+/// A class of work, by the workload specifications.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
     pub name: &'static str,
     pub priority: u32,
-    pub worth: f64,
-    pub late_worth: f64,
+    /// Utility of a job on time.
+    pub utility: f64,
+    /// Utility of a late job.
+    pub late_utility: f64,
+    /// Mean number of jobs that arrive per second.
     pub per_s: f64,
+    /// Mean number of tasks of a job.
     pub width: f64,
     pub max_width: f64,
+    /// Mean run time of a task.
     pub run_ms: f64,
     pub cpu_millis: u32,
+    /// Accelerators of a task, drawn evenly for each job.
     pub accelerators: &'static [u32],
     pub gang: bool,
-    pub tight: f64,
+    /// Share of jobs that request one rack.
+    pub same_rack: f64,
+    /// Share of jobs with their data on a rack.
     pub near_data: f64,
+    /// Share of jobs with checkpoints.
     pub checkpoints: f64,
+    /// Greatest error of estimates of run times, as a part of the run time.
     pub estimate_error: f64,
+    /// The objective of a job is this many times its run time, plus `target_ms`.
     pub stretch: f64,
     pub target_ms: u64,
-    pub hopeless: f64,
+    /// Share of jobs whose tasks always fail.
+    pub always_failing: f64,
 }
 
-/// The classes of the second site's sheet; the first one's differ little.
+/// The classes of the second site's specification; those of the first differ little.
 const LIGHT_CLASSES: [Class; 3] = [
     Class {
         name: "urgent",
         priority: 0,
-        worth: 4.0,
-        late_worth: 0.8,
+        utility: 4.0,
+        late_utility: 0.8,
         per_s: 1.9,
         width: 3.0,
         max_width: 18.0,
@@ -45,19 +57,19 @@
         cpu_millis: 3_700,
         accelerators: &[1, 2, 4, 8, 8],
         gang: true,
-        tight: 0.8,
+        same_rack: 0.8,
         near_data: 0.0,
         checkpoints: 0.0,
         estimate_error: 0.2,
         stretch: 1.5,
         target_ms: 250,
-        hopeless: 0.0,
+        always_failing: 0.0,
     },
     Class {
         name: "large",
         priority: 1,
-        worth: 3.0,
-        late_worth: 0.9,
+        utility: 3.0,
+        late_utility: 0.9,
         per_s: 0.69,
         width: 4.0,
         max_width: 24.0,
@@ -65,19 +77,19 @@
         cpu_millis: 13_000,
         accelerators: &[1, 2, 4, 8, 8],
         gang: true,
-        tight: 0.6,
+        same_rack: 0.6,
         near_data: 0.0,
         checkpoints: 0.45,
         estimate_error: 0.2,
         stretch: 3.0,
         target_ms: 1_000,
-        hopeless: 0.03,
+        always_failing: 0.03,
     },
     Class {
         name: "patient",
         priority: 2,
-        worth: 1.0,
-        late_worth: 0.3,
+        utility: 1.0,
+        late_utility: 0.3,
         per_s: 1.06,
         width: 12.0,
         max_width: 72.0,
@@ -85,17 +97,17 @@
         cpu_millis: 2_800,
         accelerators: &[1],
         gang: false,
-        tight: 0.0,
+        same_rack: 0.0,
         near_data: 0.3,
         checkpoints: 0.45,
         estimate_error: 0.5,
         stretch: 3.0,
         target_ms: 3_000,
-        hopeless: 0.03,
+        always_failing: 0.03,
     },
 ];
 
-/// The classes of the third site's sheet.
+/// The classes of the third site's specification.
 const HEAVY_CLASSES: [Class; 3] = [
     Class {
         name: "urgent",
@@ -126,19 +138,20 @@
     },
 ];
 
-/// A fleet on which loads are replayed, and what is asked of it.
+/// A fleet on which loads are replayed, with its bounds and classes of work.
 #[derive(Debug)]
 pub struct Site {
     pub workers: usize,
-    /// Workers on a rack.
+    /// Number of workers on a rack.
     pub rack: usize,
     pub capacity: Resources,
-    /// Run times against the usual one, for one worker after another.
+    /// Factors by which run times exceed the usual one, repeated over the workers.
     pub slowness: &'static [f64],
-    /// Bounds as the settings tell them.
+    /// Bound on the time of a stop, as in the settings.
     pub stop_ms: u64,
+    /// Bound on the time until guaranteed work begins, as in the settings.
     pub reclaim_ms: u64,
-    /// Time that a stop takes.
+    /// Time that a stop takes on the simulated workers.
     pub stop_takes_ms: u64,
     pub checkpoint_ms: u64,
     pub restore_ms: u64,
@@ -148,25 +161,25 @@
 }
 
 impl Site {
-    /// The data centre of the worker at a place; each has as many workers.
+    /// Returns the index of the data centre of a worker; all have as many workers.
     pub fn data_centre(&self, at: usize) -> usize {
         at * DATA_CENTRES.len() / self.workers
     }
 
-    /// The rack of the worker at a place.
+    /// Returns the rack of a worker.
     pub fn rack_of(&self, at: usize) -> String {
         format!("r{}", at / self.rack)
     }
 
-    /// Accelerators that no account is guaranteed.
+    /// Returns the number of accelerators that no account is guaranteed.
     pub fn surplus_accelerators(&self) -> u32 {
         let guaranteed = self.guaranteed_accelerators * ACCOUNT_SHARES.len() as u32;
         self.capacity.accelerators * self.workers as u32 - guaranteed
     }
 }
 
-/// The first site's workers, so many of them as in the deployments at their larger
-/// sizes, and as in the plan.
+/// The first site's workers in the numbers of the first deployments at their larger sizes
+/// and of the plan.
 pub static SIZES: [Site; 3] = [sized(350), sized(1_000), sized(7_300)];
 
 const fn sized(workers: usize) -> Site {
@@ -178,18 +191,18 @@
     }
 }
 
-/// More than a fleet of some size can do: a full queue.
+/// Returns a load of more work than the fleet can do, so that a queue builds up.
 pub fn overload(site: &'static Site) -> Load {
-    const MORE_THAN_FULL: f64 = 1.3;
+    const OVERLOAD_FACTOR: f64 = 1.3;
     Load {
         name: "overload",
         site,
-        scale: MORE_THAN_FULL * site.workers as f64 / LIGHT.workers as f64,
+        scale: OVERLOAD_FACTOR * site.workers as f64 / LIGHT.workers as f64,
         ..CALM
     }
 }
 
-/// Workers of 32 cores, like tasks of few, stops of a tenth of a second.
+/// Workers of 32 cores, tasks of few cores, and stops that take a tenth of a second.
 const LIGHT: Site = Site {
     workers: 48,
     rack: 8,
@@ -210,8 +223,8 @@
 
 static LIGHT_SITE: Site = LIGHT;
 
-/// The third site's sheet: workers of 128 cores at three speeds, tasks of up to 52
-/// cores, and stops that take most of the time that urgent work has to spare.
+/// The third site's specification: workers of 128 cores at three speeds, tasks of up to 52
+/// cores, and stops that take most of the slack of urgent work.
 static HEAVY: Site = Site {
     workers: 48,
     rack: 6,
@@ -230,26 +243,28 @@
     classes: HEAVY_CLASSES,
 };
 
-/// A load, and what goes wrong with it.
+/// A load and the faults that occur during it.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub name: &'static str,
     pub site: &'static Site,
-    /// All rates are multiplied by it.
+    /// Factor on the rates of all classes.
     pub scale: f64,
-    /// For the middle third, rates of one class are multiplied by `burst`.
+    /// The class whose rate is multiplied by `burst` in the middle third of the stream.
     pub burst_class: usize,
     pub burst: f64,
-    /// Share of workers that are slow, fail or hang in the middle third.
+    /// Share of workers that are slow in the middle third.
     pub slow: f64,
+    /// Share of workers that fail all runs in the middle third.
     pub failing: f64,
+    /// Share of workers that hang in the middle third.
     pub hanging: f64,
-    /// Share of jobs that are cancelled at half of the stream.
+    /// Share of open jobs that are cancelled halfway through the stream.
     pub cancelled: f64,
     /// How long a data centre is emptied, from the worst moment on; 0 for never.
     pub emptied_ms: u64,
-    /// How long the store is silent from the first third on; 0 for never.
-    pub silent_ms: u64,
+    /// How long the store answers nothing after the first third; 0 for no outage.
+    pub outage_ms: u64,
 }
 
 const CALM: Load = Load {
@@ -263,7 +278,7 @@
     hanging: 0.0,
     cancelled: 0.0,
     emptied_ms: 0,
-    silent_ms: 0,
+    outage_ms: 0,
 };
 
 /// The loads that are replayed.
@@ -338,7 +353,7 @@
         name: "heavy_store_silent",
         site: &HEAVY,
         scale: 1.6,
-        silent_ms: 4_200,
+        outage_ms: 4_200,
         ..CALM
     },
 ];
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -1,5 +1,5 @@
-//! The workers of a replay: they run what they are told, end it when its time is
-//! over, and list both.
+//! Simulates the workers of a replay: they run tasks for their run times and report runs
+//! and ends in the answers to polls.
 
 use super::Replay;
 use fuchsiaslip::scheduler::{
@@ -21,29 +21,40 @@
     HashMap, //
 };
 
-/// Time of a commit.
+/// Time that a commit of the store takes.
 const COMMIT_MS: u64 = 20;
+/// Time for which a worker waits for an end to report before it answers a poll.
 const POLL_WAIT_MS: u64 = 1_000;
+/// Factor by which tasks run longer outside the rack of their data, and gangs that request
+/// one rack on several racks.
 pub const REMOTE_FACTOR: f64 = 3.0;
 
+/// A run on a simulated worker.
 #[derive(Clone, Debug)]
 pub struct SimRun {
-    pub began_ms: u64,
-    /// Progress that it was started with.
+    pub started_ms: u64,
+    /// Run time that the checkpoint saves with which it started.
     pub saved_ms: u64,
+    /// When it ends by itself.
     pub ends_ms: u64,
-    pub how: EndKind,
+    /// How it ends by itself.
+    pub end_kind: EndKind,
+    /// When it stops, if it was ordered to.
     pub stops_ms: Option<u64>,
-    pub room: Resources,
+    pub resources: Resources,
     pub checkpoints: bool,
     pub slowness: f64,
 }
 
+/// A simulated worker.
 #[derive(Clone, Debug, Default)]
 pub struct SimWorker {
     pub running: BTreeMap<RunName, SimRun>,
+    /// Ends that are not yet acknowledged.
     pub ended: Vec<EndedRow>,
+    /// Number of the last end.
     pub next_end: u64,
+    /// The highest run number that is refused, by task.
     pub refused: HashMap<fuchsiaslip::scheduler::TaskId, u64>,
     pub slowness: f64,
     pub failing: bool,
@@ -51,20 +62,21 @@
 }
 
 impl Replay {
+    /// Ends the runs on a worker that are due, and the gangs that they belong to.
     pub(super) fn end_runs(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        let over: Vec<(RunName, EndKind)> = self.workers[at]
+        let due: Vec<(RunName, EndKind)> = self.workers[at]
             .running
             .iter()
             .filter_map(|(&name, run)| {
                 if run.ends_ms <= now_ms {
-                    return Some((name, run.how));
+                    return Some((name, run.end_kind));
                 }
                 let stopped = run.stops_ms.is_some_and(|at_ms| at_ms <= now_ms);
                 stopped.then_some((name, EndKind::Stopped))
             })
             .collect();
-        for (name, kind) in over {
+        for (name, kind) in due {
             self.end_run(at, name, kind);
             let gang = self.step_of(name).is_some_and(|step| step.gang);
             if gang {
@@ -84,6 +96,7 @@
         job.record.spec.steps.get(name.task.step as usize)
     }
 
+    /// Returns the runs of a gang with the indices of their workers.
     fn members(&self, name: RunName) -> Vec<(usize, RunName)> {
         let same = |other: &RunName| other.task.job == name.task.job && other.run == name.run;
         let workers = self.workers.iter().enumerate();
@@ -93,6 +106,7 @@
             .collect()
     }
 
+    /// Ends a run on a worker, with its checkpoint, and counts the work that is lost.
     fn end_run(&mut self, at: usize, name: RunName, kind: EndKind) {
         let now_ms = self.now_ms;
         let checkpoint_ms = self.site.checkpoint_ms;
@@ -101,11 +115,11 @@
             return;
         };
         worker.refused.insert(name.task, name.run);
-        let worked_ms = now_ms - run.began_ms;
-        let kept_ms = match run.checkpoints {
+        let worked_ms = now_ms - run.started_ms;
+        let saved_ms = match run.checkpoints {
             true => {
                 let done_ms = run.saved_ms + (worked_ms as f64 / run.slowness) as u64;
-                // A stop makes a checkpoint of its own.
+                // A stop makes a checkpoint; other ends leave the last periodic one.
                 let exact = kind == EndKind::Stopped;
                 if exact {
                     done_ms
@@ -116,7 +130,7 @@
             false => 0,
         };
         if kind != EndKind::Done && !run.checkpoints {
-            let cores = run.room.weight() as f64 / 1_000.0;
+            let cores = run.resources.weight() as f64 / 1_000.0;
             self.thrown_away_core_s += cores * worked_ms as f64 / 1_000.0;
         }
         let worker = &mut self.workers[at];
@@ -125,14 +139,15 @@
             number: worker.next_end,
             name,
             kind,
-            checkpoint: if kept_ms > 0 {
-                kept_ms.to_string().into()
+            checkpoint: if saved_ms > 0 {
+                saved_ms.to_string().into()
             } else {
                 "".into()
             },
         });
     }
 
+    /// Answers the polls that are due; returns whether there were any.
     pub(super) fn answer_polls(&mut self) -> bool {
         let now_ms = self.now_ms;
         let polls = std::mem::take(&mut self.polls);
@@ -145,8 +160,8 @@
                 continue;
             }
             let running = worker.running.iter().map(|(&name, run)| {
-                let whole_ms = run.ends_ms.saturating_sub(run.began_ms).max(1);
-                let percent = (now_ms - run.began_ms) * 100 / whole_ms;
+                let length_ms = run.ends_ms.saturating_sub(run.started_ms).max(1);
+                let percent = (now_ms - run.started_ms) * 100 / length_ms;
                 RunningRow {
                     name,
                     checkpoint: "".into(),
@@ -161,7 +176,7 @@
                 ended: worker.ended.clone(),
             };
             answered = true;
-            self.tell(Input::PollAnswered {
+            self.send_input(Input::PollAnswered {
                 worker: key,
                 sent_ms,
                 report,
@@ -170,6 +185,7 @@
         answered
     }
 
+    /// Carries out an action of the scheduler.
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
             Action::Poll {
@@ -183,7 +199,7 @@
             } => {
                 let saved_ms = checkpoint.and_then(|text| text.parse().ok()).unwrap_or(0);
                 let outcome = self.start(callee.worker.index(), name, saved_ms);
-                self.tell(Input::StartResult {
+                self.send_input(Input::StartResult {
                     worker: callee.worker,
                     name,
                     outcome,
@@ -196,7 +212,7 @@
                 if let Some(run) = worker.running.get_mut(&name) {
                     run.stops_ms = Some(at_ms);
                 }
-                self.tell(Input::StopResult {
+                self.send_input(Input::StopResult {
                     worker: callee.worker,
                     name,
                     outcome: CallOutcome::Done,
@@ -204,79 +220,81 @@
             }
             Action::StoreProgress { job } => {
                 if let Some((change, _)) = self.scheduler.progress(job) {
-                    self.stores
+                    self.writes
                         .push((self.store_answers_ms() + COMMIT_MS, job, change));
                 }
             }
             Action::StoreRoster => {
                 let names = self.scheduler.roster().into_iter().map(|(name, _)| name);
-                self.tell(Input::RosterStored(names.collect()));
+                self.send_input(Input::RosterStored(names.collect()));
             }
             _ => {}
         }
     }
 
+    /// Starts a run on a worker that goes on from `saved_ms` of its run time.
     fn start(&mut self, at: usize, name: RunName, saved_ms: u64) -> CallOutcome {
         if let Some(order) = &mut self.order {
-            order.note_start(self.site.data_centre(at), self.now_ms);
+            order.record_start(self.site.data_centre(at), self.now_ms);
         }
-        if self.silent_ms.contains(&self.now_ms) {
-            self.starts_in_silence += 1;
+        if self.outage_ms.contains(&self.now_ms) {
+            self.starts_in_outage += 1;
         }
         let Some(step) = self.step_of(name).cloned() else {
             return CallOutcome::Refused(StartRefusal::OldRun);
         };
-        let elsewhere = self.workers.iter().any(|worker| {
+        let already_running = self.workers.iter().any(|worker| {
             let mut names = worker.running.keys();
             names.any(|other| other.task == name.task)
         });
-        self.twice += usize::from(elsewhere);
+        self.double_runs += usize::from(already_running);
         let job = &self.jobs[&name.task.job];
         let run_ms: u64 = job.record.spec.payload.parse().unwrap_or(0);
-        let hopeless = job.hopeless;
-        let far = !step.data_rack.is_empty() && step.data_rack != self.site.rack_of(at);
+        let always_fails = job.always_fails;
+        let remote = !step.data_rack.is_empty() && step.data_rack != self.site.rack_of(at);
         let worker = &self.workers[at];
         let used = worker.running.values();
-        let used = used.fold(Resources::default(), |sum, run| sum.plus(&run.room));
+        let used = used.fold(Resources::default(), |sum, run| sum.plus(&run.resources));
         if !self.site.capacity.minus(&used).holds(&step.needs) {
             return CallOutcome::Refused(StartRefusal::NoRoom);
         }
-        let slowness = worker.slowness * if far { REMOTE_FACTOR } else { 1.0 };
+        let slowness = worker.slowness * if remote { REMOTE_FACTOR } else { 1.0 };
         let left_ms = run_ms.saturating_sub(saved_ms);
         let restore_ms = if saved_ms > 0 {
             self.site.restore_ms
         } else {
             0
         };
-        let lasts_ms = (left_ms as f64 * slowness) as u64 + restore_ms;
-        let (ends_ms, how) = match (worker.hanging, worker.failing || hopeless) {
+        let length_ms = (left_ms as f64 * slowness) as u64 + restore_ms;
+        let (ends_ms, end_kind) = match (worker.hanging, worker.failing || always_fails) {
             (true, _) => (u64::MAX / 2, EndKind::Failed),
             (false, true) => (self.now_ms + 200, EndKind::Failed),
-            (false, false) => (self.now_ms + lasts_ms, EndKind::Done),
+            (false, false) => (self.now_ms + length_ms, EndKind::Done),
         };
         let run = SimRun {
-            began_ms: self.now_ms,
+            started_ms: self.now_ms,
             saved_ms,
             ends_ms,
-            how,
+            end_kind,
             stops_ms: None,
-            room: step.needs,
+            resources: step.needs,
             checkpoints: step.checkpoints,
             slowness,
         };
         self.workers[at].running.insert(name, run);
         let now_ms = self.now_ms;
         if let Some(job) = self.jobs.get_mut(&name.task.job) {
-            job.first_begun.entry(name.task.index).or_insert(now_ms);
+            job.first_starts.entry(name.task.index).or_insert(now_ms);
         }
         if step.gang {
-            self.pace_gang(name, &step);
+            self.align_gang_ends(name, &step);
         }
         CallOutcome::Done
     }
 
-    /// A gang is as slow as its slowest member, and slow on several racks.
-    fn pace_gang(&mut self, name: RunName, step: &StepSpec) {
+    /// Lets all members of a complete gang end with the slowest one. A gang that requests
+    /// one rack is slower on several.
+    fn align_gang_ends(&mut self, name: RunName, step: &StepSpec) {
         let members = self.members(name);
         let racks: BTreeSet<String> = members
             .iter()
@@ -287,19 +305,19 @@
             .iter()
             .map(|(at, member)| {
                 let run = &self.workers[*at].running[member];
-                let lasts_ms = run.ends_ms.saturating_sub(run.began_ms);
+                let length_ms = run.ends_ms.saturating_sub(run.started_ms);
                 match spread && run.slowness < REMOTE_FACTOR {
-                    true => run.began_ms + (lasts_ms as f64 * REMOTE_FACTOR) as u64,
+                    true => run.started_ms + (length_ms as f64 * REMOTE_FACTOR) as u64,
                     false => run.ends_ms,
                 }
             })
             .max()
             .unwrap_or(0);
-        let whole = members.len() == step.count as usize;
+        let complete = members.len() == step.count as usize;
         for (at, member) in members {
             if let Some(run) = self.workers[at].running.get_mut(&member)
-                && whole
-                && run.how == EndKind::Done
+                && complete
+                && run.end_kind == EndKind::Done
             {
                 run.ends_ms = ends_ms;
             }
