--- a/src/scheduler/ordering.rs
+++ b/src/scheduler/ordering.rs
@@ -101,7 +101,7 @@
 pub struct UtilityEstimate {
     /// Utility of a job of its queue.
     pub utility: f64,
-    /// Factor by which the job's utility exceeds that of its queue's mean job.
+    /// Utility of the job relative to that of a job of its queue with the mean work.
     pub utility_ratio: f64,
     /// Work left, in thousandths of a core times milliseconds.
     pub work_left: f64,
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -428,7 +428,7 @@
             return;
         };
         for (name, ticket) in approved {
-            // A ticket is valid only for the incarnation of the worker that was asked about.
+            // A ticket is valid only for the incarnation that the request named.
             let worker = index.get(&name).filter(|worker| asked.contains(worker));
             if let Some(&worker) = worker {
                 let until_ms = now_ms + validity_ms;
--- a/src/scheduler/throttling.rs
+++ b/src/scheduler/throttling.rs
@@ -1,11 +1,12 @@
 //! Throttles runs that fill a worker so that they do not harm the tasks that serve there.
 //!
 //! Load pattern: tasks that serve have a target for the tail of their response times;
-//! runs that fill the worker beside them raise the tail by amounts that differ by image
-//! and change within seconds. Workers report the tail of the last half second, so the
-//! throttle follows it in steps: halved at once when the tail nears the target, raised
-//! slowly while the tail is far below it. Limits: the tail may exceed the target for a
-//! few seconds at most, so once it does, the throttle is set to 0 percent.
+//! runs that fill the worker beside them, on the cores that they leave unused, raise the
+//! tail by amounts that differ by image and change within seconds. Workers report the
+//! tail of the last half second, so the throttle follows it in steps: halved at once when
+//! the tail nears the target, raised slowly while the tail is far below it. Limits: the
+//! tail may exceed the target for a few seconds at most, so once it does, the throttle is
+//! set to 0 percent.
 
 use super::action::Action;
 use super::state::Scheduler;
