--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 // The cost of placing a task on a candidate is the number of accelerators left free
-// beside the task, plus the terms below. Each of the larger terms outweighs all the
-// smaller ones together.
+// beside the task, plus the terms below. Each of the four largest constants exceeds the
+// sum of all smaller ones.
 
 /// A worker on which the task failed or hung before.
 const AVOIDED_COST: f64 = 500.0;
