--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! The whole path on an operator's platform: real daemons as processes, beside
-//! a stand-in of the platform. tests/soak.rs puts it under drawn faults.
+//! End-to-end tests on an operator's platform: real daemons as processes, beside a
+//! stand-in of the platform. tests/soak.rs runs the same under random faults.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/daemons.rs"]
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_typed_answer_and_loses_nothing() {
+fn invalid_requests_get_specific_statuses_and_later_jobs_still_run() {
     let operator = Operator::spawn(1);
     configure(&operator, 1);
     let daemons = fleet(2, 1, &operator);
@@ -92,11 +92,11 @@
     assert_eq!(status(daemon.request("PATCH", &path(1), "")), 405);
     let large = format!("{{\"spec\":\"{}\"}}", "x".repeat(300 << 10));
     assert_eq!(status(daemon.request("POST", &path(1), &large)), 413);
-    let unknown =
+    let unknown_key =
         b"GET /q/ HTTP/1.1\r\nhost: h\r\nauthorization: Token no\r\nconnection: close\r\n\r\n";
-    assert_eq!(status(daemon.send_raw(unknown)), 401);
-    let torn = daemon.send_raw(b"\x00\x01\x02 not http\r\n\r\n");
-    assert!(matches!(torn, Answer::None | Answer::Status(400, _)));
+    assert_eq!(status(daemon.send_raw(unknown_key)), 401);
+    let malformed = daemon.send_raw(b"\x00\x01\x02 not http\r\n\r\n");
+    assert!(matches!(malformed, Answer::None | Answer::Status(400, _)));
 
     assert_eq!(status(daemon.request("POST", &path(1), &job(1, 50))), 200);
     wait_until("completed", || {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_told_to_end_hands_over_and_ends_by_itself() {
+fn a_daemon_that_receives_sigterm_hands_over_and_exits() {
     let operator = Operator::spawn(2);
     configure(&operator, 1);
     let mut daemons = fleet(3, 2, &operator);
@@ -114,15 +114,19 @@
 
     daemons[0].signal(Signal::TERM);
 
-    assert!(daemons[0].wait(), "it ends without an error");
+    assert!(daemons[0].wait(), "the daemon exits with success");
     wait_until("completed", || {
         state(&daemons[1], 1) == r#"{"state":"completed"}"#
     });
-    assert_eq!(operator.world().records.len(), 2, "what ran went on");
+    assert_eq!(
+        operator.world().records.len(),
+        2,
+        "the running tasks were not started again"
+    );
 }
 
 #[test]
-fn a_store_that_refuses_makes_refusals_that_are_true() {
+fn a_job_refused_while_the_store_refuses_calls_never_runs() {
     let operator = Operator::spawn(1);
     configure(&operator, 1);
     let daemons = fleet(4, 1, &operator);
@@ -148,14 +152,13 @@
     );
 }
 
-/// Where the operators' configuration lies in the store.
+/// The key of the operators' configuration in the store.
 const CONFIGURATION_KEY: &str = "op/config";
 
-/// A caller saw a job as failed after one failed run, with attempts left. All
-/// daemons had been restarted, and the one that took over had not yet read a
-/// configuration: it held every queue for one that allows a single attempt, and
-/// stored the job's end when a worker listed the run. Its log had no version in
-/// force before it owned, and all queues had one priority.
+/// Guards against a job that fails after one failed run, with attempts left. All
+/// daemons had been restarted, and the new owner had not read a configuration yet. It
+/// took each queue for one that allows a single attempt, and stored the job's end
+/// when a worker listed the failed run.
 #[test]
 fn an_owner_that_has_read_no_configuration_fails_no_job() {
     let operator = Operator::spawn(1);
@@ -175,40 +178,41 @@
     operator.world().withheld_key = None;
 
     wait_until("completed", || {
-        let shown = state(&daemons[0], 1);
-        assert_ne!(shown, r#"{"state":"failed"}"#);
-        shown == r#"{"state":"completed"}"#
+        let reported = state(&daemons[0], 1);
+        assert_ne!(reported, r#"{"state":"failed"}"#);
+        reported == r#"{"state":"completed"}"#
     });
 }
 
-/// A job was never done. Its queue had been removed from the configuration after
-/// it was accepted, and all daemons were restarted: the new owner had never seen
-/// the queue, so it knew no service whose workers run its tasks, and one failed
-/// run would have ended the job.
+/// Guards against a job that never completes. Its queue was removed from the
+/// configuration after the job was accepted, and all daemons were restarted. The new
+/// owner had never seen the queue, so it knew no service whose workers run the tasks,
+/// and one failed run would have ended the job.
 #[test]
 fn a_job_of_a_removed_queue_is_done_under_a_new_owner() {
     let operator = Operator::spawn(1);
-    let both = [("q", 1), ("other", 1)];
-    operator.world().configure(1, &both, 5);
+    let both_queues = [("q", 1), ("other", 1)];
+    operator.world().configure(1, &both_queues, 5);
     let mut daemons = fleet(6, 2, &operator);
     daemons[0].request("POST", &path(1), &job(1, 2_000));
     wait_until("running", || operator.world().records.len() == 1);
-    operator.world().configure(2, &both[1..], 5);
+    operator.world().configure(2, &both_queues[1..], 5);
     daemons.iter_mut().for_each(Daemon::kill);
     operator.world().fail_runs(0);
 
     daemons.iter_mut().for_each(Daemon::start);
 
-    let shown_elsewhere = || state_at(&daemons[0], &format!("/other/{:016x}", 1));
+    let state_in_other_queue = || state_at(&daemons[0], &format!("/other/{:016x}", 1));
     wait_until("completed", || {
-        let shown = shown_elsewhere();
-        assert_ne!(shown, r#"{"state":"failed"}"#);
-        shown == r#"{"state":"completed"}"#
+        let reported = state_in_other_queue();
+        assert_ne!(reported, r#"{"state":"failed"}"#);
+        reported == r#"{"state":"completed"}"#
     });
 }
 
-/// All that ran was lost while one read of a new owner was not answered: its takeover
-/// waited for the configuration, and the workers' leases ran out.
+/// Guards against the loss of all running work when one read of a new owner is not
+/// answered: the takeover waited for the configuration, and the workers' leases
+/// expired.
 #[test]
 fn running_work_goes_on_while_the_configuration_cannot_be_read() {
     let operator = Operator::spawn(1);
@@ -227,14 +231,20 @@
     wait_until("completed", || {
         state(&daemons[0], 1) == r#"{"state":"completed"}"#
     });
-    assert_eq!(operator.world().records.len(), 1, "what ran went on");
+    assert_eq!(
+        operator.world().records.len(),
+        1,
+        "the running tasks were not started again"
+    );
 }
+
 #[test]
-fn daemons_that_take_each_other_for_the_owner_find_one() {
-    // A daemon's attempt to take over gets no answer and is carried out seconds
-    // later, when that daemon has given it up. The owner steps down for it and
-    // takes it for the owner, while it still takes the other for the owner: both
-    // hear each other's heartbeats, and nobody owned any more.
+fn daemons_that_take_each_other_for_the_owner_elect_one() {
+    // Guards against a fleet without an owner. A daemon's attempt to take over gets
+    // no answer, and is carried out seconds later, when that daemon has abandoned it.
+    // The owner steps down and takes that daemon for the owner, while that daemon
+    // takes the old owner for it. Both receive each other's heartbeats, so neither
+    // took over.
     let operator = Operator::spawn(1);
     configure(&operator, 1);
     let daemons = fleet(9, 2, &operator);
@@ -262,9 +272,10 @@
     });
 }
 
-/// Machines were emptied a second time for an upkeep that was over. An earlier owner had
-/// completed the wave; the store forgot its history, and the owner that read the
-/// operators' values anew took every wave there for an open one.
+/// Guards against machines that are emptied a second time for a completed wave of
+/// upkeep. An earlier owner had completed the wave. The store then dropped its
+/// history, and the owner, which had to read the operators' values again, took every
+/// wave there for an open one.
 #[test]
 fn a_completed_wave_stays_completed_when_the_history_is_gone() {
     let operator = Operator::spawn(1);
@@ -275,7 +286,7 @@
     operator.world().put("status/wave/3", &completed);
     let daemons = fleet(216, 1, &operator);
     wait_until("a daemon owns", || epoch(&operator) > 0);
-    wait_until("it serves", || {
+    wait_until("it accepts a job", || {
         matches!(
             daemons[0].request("POST", &path(1), &job(1, 50)),
             Answer::Status(200, _)
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,5 @@
-//! When a daemon takes incarnation_over: from what it has heard, without clock and net.
+//! When a daemon takes over, from what it knows of the others, without clock and
+//! network.
 
 use fuchsiaslip::cluster::{
     Candidate,
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_silent_owner_is_followed_by_the_first_candidate() {
+fn an_unresponsive_owner_is_replaced_by_the_best_candidate() {
     let first = takeover_at_ms(&view(Some(owner_status()))).unwrap();
     let mut second = view(Some(owner_status()));
     second.reachable.push(candidate("a", 250));
@@ -54,10 +55,11 @@
     assert_eq!(second, NOW_MS + 1_000, "one rank later");
 }
 
-/// Of 300 daemons each new owner called 3,000 workers, fell silent for a second
-/// and was followed by the next one, which did the same.
+/// Guards against repeated takeovers: among 300 daemons each new owner called 3,000
+/// workers, did not respond for a second, and was replaced by the next one, which did
+/// the same.
 #[test]
-fn a_large_fleet_gives_its_owner_more_time_and_a_young_owner_most() {
+fn a_large_fleet_gives_its_owner_more_time_and_a_new_owner_most() {
     let mut large = view(Some(owner_status()));
     large.reachable = (0..299)
         .map(|at| candidate(&format!("c{at}"), 250))
@@ -72,10 +74,10 @@
     assert_eq!(takeover_at_ms(&large), Some(NOW_MS + 700 + 1_800));
 }
 
-/// The first candidate owns, so the next one always waited one rank longer than
-/// needed: for an owner that had just fallen silent.
+/// Guards against a takeover that comes one rank too late. The owner is the best
+/// candidate, so the next one waited for the owner that had just stopped responding.
 #[test]
-fn the_silent_owner_is_no_rival() {
+fn the_owner_to_replace_does_not_delay_the_next_candidate() {
     let mut next = view(Some(OwnerStatus {
         name: "a".to_owned(),
         ..owner_status()
@@ -93,10 +95,11 @@
     assert_eq!(takeover_at_ms(&weak), Some(NOW_MS + 1_000));
 }
 
-/// At the first start of a fleet a VM with an eighth of a core took over before
-/// it knew of the strong ones, and lost the ownership in the first burst.
+/// Guards against a weak first owner: at the first start of a fleet, a VM with an
+/// eighth of a core took over before it knew of the strong ones, and lost the
+/// ownership in the first burst.
 #[test]
-fn at_the_first_start_daemons_hear_of_each_other_first() {
+fn the_first_takeover_waits_until_daemons_know_each_other() {
     let mut first = view(None);
     first.started_ms = NOW_MS;
     assert_eq!(takeover_at_ms(&first), Some(NOW_MS + 1_200));
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn a_draining_owner_is_followed_at_once() {
+fn a_draining_owner_is_replaced_at_once() {
     let draining = OwnerStatus {
         draining: true,
         ..owner_status()
@@ -117,41 +120,45 @@
 
 #[test]
 fn a_daemon_that_is_cut_off_waits_longest() {
-    let mut alone = view(Some(owner_status()));
-    alone.reachable.clear();
-    alone.listed = 4;
+    let mut isolated = view(Some(owner_status()));
+    isolated.reachable.clear();
+    isolated.listed = 4;
 
-    assert_eq!(takeover_at_ms(&alone), Some(NOW_MS + 2_200));
+    assert_eq!(takeover_at_ms(&isolated), Some(NOW_MS + 2_200));
 }
 
 #[test]
 fn a_daemon_that_lost_the_store_never_takes_over() {
-    let mut storeless = view(Some(owner_status()));
-    storeless.own.eligible = false;
+    let mut without_store = view(Some(owner_status()));
+    without_store.own.eligible = false;
 
-    assert_eq!(takeover_at_ms(&storeless), None);
+    assert_eq!(takeover_at_ms(&without_store), None);
 }
 
-/// After an outage of the store for all, ownership changed hands twice within
-/// 100 ms: the first daemons that found the store again saw an owner that had
-/// been without it for seconds, and that had it again a moment later.
+/// Guards against needless takeovers after an outage of the store for all daemons:
+/// ownership changed twice within 100 ms. The first daemons that reached the store
+/// again saw an owner that had been without it for seconds, and that reached it a
+/// moment later.
 #[test]
-fn an_outage_for_all_does_not_end_an_ownership() {
-    let storeless = OwnerStatus {
+fn a_store_outage_for_all_daemons_does_not_end_an_ownership() {
+    let without_store = OwnerStatus {
         store_lost_since_ms: Some(NOW_MS - 4_000),
         ..owner_status()
     };
-    let mut after_outage = view(Some(storeless.clone()));
+    let mut after_outage = view(Some(without_store.clone()));
     after_outage.store_recovered_ms = NOW_MS;
 
     assert_eq!(takeover_at_ms(&after_outage), Some(NOW_MS + 500));
-    assert_eq!(takeover_at_ms(&view(Some(storeless))), Some(NOW_MS - 3_500));
+    assert_eq!(
+        takeover_at_ms(&view(Some(without_store))),
+        Some(NOW_MS - 3_500)
+    );
 }
 
 #[test]
-fn what_the_owner_is_missing_is_told_by_name() {
+fn each_takeover_has_its_reason() {
     let reason = |owner: Option<OwnerStatus>| takeover(&view(owner)).map(|due| due.reason);
-    let over = OwnerStatus {
+    let restarted = OwnerStatus {
         incarnation_over: true,
         ..owner_status()
     };
@@ -159,14 +166,14 @@
         draining: true,
         ..owner_status()
     };
-    let storeless = OwnerStatus {
+    let without_store = OwnerStatus {
         store_lost_since_ms: Some(NOW_MS - 400),
         ..owner_status()
     };
 
     assert_eq!(reason(None), Some("no_owner"));
     assert_eq!(reason(Some(owner_status())), Some("owner_silent"));
-    assert_eq!(reason(Some(over)), Some("owner_restarted"));
+    assert_eq!(reason(Some(restarted)), Some("owner_restarted"));
     assert_eq!(reason(Some(draining)), Some("owner_draining"));
-    assert_eq!(reason(Some(storeless)), Some("owner_without_store"));
+    assert_eq!(reason(Some(without_store)), Some("owner_without_store"));
 }
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -1,6 +1,6 @@
-//! Emptying a data centre on the operators' order: what the scheduler does from
-//! the moment at which it knows the order, in virtual time; the module
-//! `whole_path` has real daemons.
+//! Emptying a data centre on the operators' order, in virtual time: what the
+//! scheduler does once it knows the order. The module `whole_path` tests real
+//! daemons.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/daemons.rs"]
@@ -48,8 +48,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A fleet with so many workers in each of the data centres `a` and `b`; those of
-/// `a` are `a0`, `a1`, ... on the racks `ra0`, `ra1`, ..., two workers each.
+/// A fleet with `workers_in_each` workers in each of the data centres `a` and `b`.
+/// Those of `a` are `a0`, `a1`, ... on the racks `ra0`, `ra1`, ..., two workers on
+/// each.
 fn two_data_centres(workers_in_each: usize) -> Fleet {
     let mut fleet = Fleet::with_workers(0);
     for data_centre in ["a", "b"] {
@@ -72,7 +73,7 @@
         .collect()
 }
 
-/// The store shows that these data centres, and no others, are to be emptied.
+/// Tells the scheduler that these data centres, and no others, are to be emptied.
 fn order(fleet: &mut Fleet, data_centres: &[&str]) {
     fleet.tell(Input::EmptyingOrdersRead {
         orders: orders(data_centres),
@@ -80,7 +81,7 @@
     });
 }
 
-/// Starts that workers of a data centre were sent from a time on.
+/// Number of starts sent to workers of a data centre since `from_ms`.
 fn starts_in(fleet: &Fleet, data_centre: &str, from_ms: u64) -> usize {
     let starts = fleet.starts.iter();
     starts
@@ -107,12 +108,15 @@
 
 #[test]
 fn nothing_starts_in_an_emptied_data_centre_and_what_runs_there_ends_by_itself() {
-    // Operators empty `a` to work on its power while jobs keep coming.
-    // Tasks that run there may end; a new one there would be lost.
+    // Operators empty `a` to work on its power while jobs keep coming. Tasks that run
+    // there may end; a new one there would be lost.
     let mut fleet = two_data_centres(2);
     fleet.submit(1, record("plain", vec![step(6, 1)]));
     fleet.advance(50);
-    assert!(running_in(&fleet, "a") > 0, "it is in use and has room");
+    assert!(
+        running_in(&fleet, "a") > 0,
+        "it is in use and has free capacity"
+    );
     let before = running_in(&fleet, "a");
 
     order(&mut fleet, &["a"]);
@@ -125,20 +129,23 @@
     assert!(fleet.stops.is_empty());
     assert!(
         starts_in(&fleet, "b", from_ms) > 0,
-        "room elsewhere is used"
+        "free capacity elsewhere is used"
     );
 }
 
 #[test]
 fn a_start_without_an_answer_is_not_sent_again_to_an_emptied_data_centre() {
-    // A start to `a` got no answer when the order came. Sent again, it would
-    // begin there seconds after the order. It is stopped, which a worker keeps
-    // in mind, and the task starts elsewhere.
+    // A start sent to `a` had no answer when the order came. If the start were sent
+    // again, the task would begin there seconds after the order. Instead the run is
+    // stopped, which the worker remembers, and the task starts elsewhere.
     let mut fleet = two_data_centres(1);
     fleet.silent = vec!["a0".to_owned(), "b0".to_owned()];
     let job = fleet.submit(1, record("plain", vec![step(16, 1)]));
     fleet.settle();
-    assert!(starts_in(&fleet, "a", 0) > 0, "a start is under way there");
+    assert!(
+        starts_in(&fleet, "a", 0) > 0,
+        "a start is in progress there"
+    );
 
     order(&mut fleet, &["a"]);
     let from_ms = fleet.now_ms + 1;
@@ -159,7 +166,7 @@
 
 #[test]
 fn a_gang_that_is_half_placed_starts_whole_elsewhere() {
-    // One member of a gang runs in `b`, the start of the other in `a` got no
+    // One member of a gang runs in `b`; the start of another member in `a` had no
     // answer when the order came. The gang cannot become whole there.
     let mut fleet = two_data_centres(2);
     let blocker = fleet.submit(1, record("plain", vec![step(1, 8)]));
@@ -184,13 +191,13 @@
 }
 
 #[test]
-fn what_fails_or_lasts_there_starts_again_elsewhere() {
+fn failed_tasks_restart_outside_the_emptied_data_centre() {
     let mut fleet = two_data_centres(1);
-    let lasting = StepSpec {
+    let long_running = StepSpec {
         long_running: true,
         ..step(2, 4)
     };
-    let lasting = fleet.submit(1, record("plain", vec![lasting]));
+    let long_running = fleet.submit(1, record("plain", vec![long_running]));
     fleet.advance(50);
     let plain = fleet.submit(2, record("plain", vec![step(2, 4)]));
     fleet.advance(50);
@@ -199,9 +206,9 @@
     order(&mut fleet, &["a"]);
     let from_ms = fleet.now_ms;
     fleet.advance(1_000);
-    assert!(running_in(&fleet, "a") > 0, "what is at work there stays");
+    assert!(running_in(&fleet, "a") > 0, "what runs there continues");
     fleet.add_worker_in("b1", "rb0", "b");
-    fleet.end_all(lasting, EndKind::Failed);
+    fleet.end_all(long_running, EndKind::Failed);
     fleet.end_all(plain, EndKind::Failed);
     fleet.advance(2_000);
 
@@ -210,9 +217,9 @@
 }
 
 #[test]
-fn no_room_is_taken_back_in_an_emptied_data_centre() {
-    // Guaranteed work asks for room that patient work has everywhere. Victims
-    // in `a` would be stopped for nothing.
+fn nothing_is_preempted_in_an_emptied_data_centre() {
+    // Guaranteed work needs the capacity that non-urgent work uses in both data
+    // centres. Stopping runs in `a` would free nothing for it.
     let mut fleet = two_data_centres(1);
     fleet.submit(1, record("plain", vec![step(4, 4)]));
     fleet.advance(50);
@@ -227,14 +234,14 @@
     assert_eq!(
         fleet.scheduler.job_status(urgent),
         Some(JobStatus::Running),
-        "the guarantee holds with the room that is left"
+        "the guarantee holds with the remaining capacity"
     );
 }
 
 #[test]
-fn room_that_is_being_freed_there_is_not_waited_for() {
-    // Victims in `a` are being stopped for guaranteed work when the order comes:
-    // their room is of no use to it any more.
+fn capacity_being_freed_in_an_emptied_data_centre_is_not_waited_for() {
+    // Runs in `a` are being stopped for guaranteed work when the order comes. The
+    // capacity that they free can no longer be used for it.
     let mut fleet = two_data_centres(1);
     fleet.submit(1, record("plain", vec![step(4, 4)]));
     fleet.advance(50);
@@ -244,7 +251,7 @@
     let stopped = |fleet: &Fleet, worker: &str| fleet.stops.iter().any(|row| row.1 == worker);
     assert!(
         stopped(&fleet, "a0") != stopped(&fleet, "b0"),
-        "one is cheaper"
+        "the runs of one data centre are cheaper to stop"
     );
     let (emptied, other) = match stopped(&fleet, "a0") {
         true => ("a", "b0"),
@@ -258,9 +265,9 @@
 }
 
 #[test]
-fn gangs_on_one_rack_and_kept_room_count_only_what_may_be_used() {
-    // The only rack that is free lies in the emptied data centre. A gang that
-    // waits for one rack gets one outside of it, as soon as that is free.
+fn a_gang_on_one_rack_does_not_wait_for_a_rack_of_an_emptied_data_centre() {
+    // The only free rack is in the emptied data centre. A gang that needs one rack
+    // gets one outside of it as soon as that is free.
     let mut fleet = two_data_centres(2);
     let tight = || StepSpec {
         same_rack: true,
@@ -278,20 +285,21 @@
     fleet.end_all(blocker, EndKind::Done);
     fleet.advance(100);
 
-    let gang_there = fleet
+    let gang_members = fleet
         .running()
         .iter()
         .filter(|row| row.1.task.job == JobId(2))
         .count();
-    assert_eq!(gang_there, 2, "{:?}", fleet.running());
+    assert_eq!(gang_members, 2, "{:?}", fleet.running());
     assert_eq!(starts_in(&fleet, "a", 0), 0);
 }
 
 #[test]
-fn room_for_a_gang_is_kept_where_it_may_be_used() {
-    // A gang waits for two whole workers: those of `a` are free and emptied, one
-    // of `b` is free and the other soon. Kept in `a`, the room of `b` would go to
-    // a small task that lasts long, and the gang would wait for that as well.
+fn capacity_for_a_gang_is_reserved_outside_an_emptied_data_centre() {
+    // A gang waits for two whole workers. Those of `a` are free but emptied; one of
+    // `b` is free and the other soon will be. If the capacity were reserved in `a`,
+    // that of `b` would go to a small task that runs long, and the gang would wait
+    // for that task as well.
     let mut fleet = two_data_centres(2);
     order(&mut fleet, &["a"]);
     let blocker = fleet.submit(1, record("plain", vec![step(1, 8)]));
@@ -316,15 +324,19 @@
 fn work_does_not_wait_for_its_data_in_an_emptied_data_centre() {
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["a"]);
-    let near = StepSpec {
+    let data_in_a = StepSpec {
         data_rack: "ra0".to_owned(),
         ..step(1, 1)
     };
 
-    fleet.submit(1, record("plain", vec![near]));
+    fleet.submit(1, record("plain", vec![data_in_a]));
     fleet.advance(50);
 
-    assert_eq!(running_in(&fleet, "b"), 1, "its rack gets nothing for long");
+    assert_eq!(
+        running_in(&fleet, "b"),
+        1,
+        "the task does not wait for the rack of its data"
+    );
 }
 
 #[test]
@@ -339,16 +351,16 @@
     fleet.settle();
 
     assert_eq!(running_in(&fleet, "a"), 8);
-    let told = decisions(&fleet);
-    let back = told.iter().any(|decision| {
+    let logged = decisions(&fleet);
+    let back = logged.iter().any(|decision| {
         matches!(decision, Decision::DataCentreBack { data_centre, emptied_ms, .. }
             if &**data_centre == "a" && *emptied_ms == 1_000)
     });
-    let used = told.iter().any(|decision| {
+    let used = logged.iter().any(|decision| {
         matches!(decision, Decision::DataCentreUsed { data_centre, after_ms: 0 }
             if &**data_centre == "a")
     });
-    assert!(back && used, "{told:?}");
+    assert!(back && used, "{logged:?}");
 }
 
 #[test]
@@ -365,8 +377,8 @@
 
 #[test]
 fn jobs_wait_while_all_data_centres_are_emptied() {
-    // Operators empty everything at once. Jobs are still accepted: nothing is
-    // lost by waiting, and a caller that was refused has nowhere else to go.
+    // Operators empty everything at once. Jobs are still accepted: nothing is lost by
+    // waiting, and a caller that was refused has nowhere else to go.
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["a", "b"]);
     let job = fleet.submit(1, record("urgent", vec![step(4, 1)]));
@@ -395,12 +407,12 @@
         });
     assert!(
         objective.is_some_and(|length_ms| length_ms < 20_000),
-        "no room at all says nothing of a job's terms: {objective:?}"
+        "a lack of capacity does not lengthen a job's objective: {objective:?}"
     );
 }
 
 #[test]
-fn a_step_that_is_wide_for_the_room_that_is_left_has_longer_terms() {
+fn a_step_that_is_wide_for_the_remaining_capacity_has_a_longer_objective() {
     let objective = |data_centres: &[&str]| {
         let mut fleet = two_data_centres(4);
         order(&mut fleet, data_centres);
@@ -417,19 +429,19 @@
 }
 
 #[test]
-fn a_new_owner_keeps_an_order_that_is_older_than_itself() {
-    // The owner dies while `a` is being emptied. Its successor reads the order
-    // with the rest of the store, and finds runs in `a` that go on.
+fn a_new_owner_obeys_an_order_given_before_its_takeover() {
+    // The owner dies while `a` is being emptied. The next owner reads the order with
+    // the rest of the stored state, and finds runs in `a` that continue.
     let mut fleet = two_data_centres(1);
-    let wide = record("plain", vec![step(20, 1)]);
-    let job = fleet.submit(1, wide.clone());
+    let job_record = record("plain", vec![step(20, 1)]);
+    let job = fleet.submit(1, job_record.clone());
     fleet.advance(50);
     assert_eq!(running_in(&fleet, "a"), 8);
 
-    let mut next = Fleet::next_owner(&fleet, 2, &[(job, wide)], true);
+    let mut next = Fleet::next_owner(&fleet, 2, &[(job, job_record)], true);
     order(&mut next, &["a"]);
     next.advance(500);
-    assert_eq!(running_in(&next, "a"), 8, "what is found goes on");
+    assert_eq!(running_in(&next, "a"), 8, "runs that are found continue");
     next.end_all(job, EndKind::Done);
     next.advance(500);
 
@@ -438,13 +450,13 @@
 }
 
 #[test]
-fn an_order_for_a_data_centre_that_does_not_exist_does_nothing_and_is_told() {
+fn an_order_for_a_data_centre_that_does_not_exist_does_nothing_and_is_logged() {
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["nowhere"]);
     fleet.submit(1, record("plain", vec![step(16, 1)]));
     fleet.advance(50);
     assert_eq!(fleet.running().len(), 16);
-    let told = decisions(&fleet).into_iter().any(|decision| {
+    let logged = decisions(&fleet).into_iter().any(|decision| {
         matches!(
             decision,
             Decision::DataCentreEmptied {
@@ -454,7 +466,7 @@
             }
         )
     });
-    assert!(told);
+    assert!(logged);
 
     fleet.add_worker_in("c0", "rc0", "nowhere");
     fleet.submit(2, record("plain", vec![step(2, 1)]));
@@ -462,12 +474,12 @@
     assert_eq!(
         starts_in(&fleet, "c", 0),
         0,
-        "a worker that comes later obeys it"
+        "the order also applies to a worker that registers later"
     );
 }
 
 #[test]
-fn a_worker_that_does_not_say_where_it_is_gets_nothing_while_there_is_an_order() {
+fn a_worker_without_a_data_centre_gets_nothing_while_there_is_an_order() {
     let mut fleet = two_data_centres(0);
     fleet.add_worker_in("w0", "r0", "");
     fleet.advance(500);
@@ -482,7 +494,7 @@
 }
 
 #[test]
-fn the_decision_tells_what_the_order_meets() {
+fn the_decision_reports_the_workers_runs_and_capacity_of_the_data_centre() {
     let mut fleet = two_data_centres(1);
     fleet.submit(1, record("plain", vec![step(16, 1)]));
     fleet.advance(50);
@@ -490,12 +502,12 @@
     order(&mut fleet, &["a"]);
     fleet.advance(10);
 
-    let told = decisions(&fleet);
-    let told = told
+    let logged = decisions(&fleet);
+    let logged = logged
         .iter()
         .find(|decision| matches!(decision, Decision::DataCentreEmptied { .. }));
     assert_eq!(
-        told,
+        logged,
         Some(&Decision::DataCentreEmptied {
             data_centre: "a".into(),
             revision: 10,
@@ -512,8 +524,8 @@
 
 #[test]
 fn work_is_not_moved_into_an_emptied_data_centre() {
-    // The only worker outside of `a` is leaving. Stopped now, its tasks would
-    // find no room: they go on while it stays.
+    // The only worker outside of `a` is leaving. If its tasks were stopped now, there
+    // would be no capacity for them; they continue while the worker stays.
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["a"]);
     fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -532,18 +544,18 @@
 }
 
 #[test]
-fn a_policy_outside_is_not_asked_about_workers_of_an_emptied_data_centre() {
+fn an_external_policy_is_not_asked_about_workers_of_an_emptied_data_centre() {
     let mut fleet = two_data_centres(1);
-    let mut terms = configuration(64);
-    terms.version = 2;
-    for queue in &mut terms.queues {
+    let mut with_advice = configuration(64);
+    with_advice.version = 2;
+    for queue in &mut with_advice.queues {
         queue.advice = Some(AdviceTerms {
             decision_ms: 1,
             per_worker_ms: 1,
             validity_ms: 10_000,
         });
     }
-    fleet.tell(Input::Configure(Arc::new(terms)));
+    fleet.tell(Input::Configure(Arc::new(with_advice)));
     order(&mut fleet, &["a"]);
 
     fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -563,9 +575,9 @@
 }
 
 #[test]
-fn an_owner_that_did_not_read_the_orders_for_too_long_starts_nothing() {
-    // The store answers this owner's confirmations but not its questions for
-    // orders. One that was given meanwhile is not known to it.
+fn an_owner_with_stale_orders_starts_nothing() {
+    // The store answers this owner's confirmations but not its reads of the orders,
+    // so an order that is given meanwhile is unknown to the owner.
     let tuning = Tuning {
         orders_max_age_ms: 3_000,
         ..Tuning::default()
@@ -576,29 +588,33 @@
     fleet.advance(2_900);
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(50);
-    assert_eq!(fleet.running().len(), 1, "it was read 2.9 s ago");
+    assert_eq!(fleet.running().len(), 1, "the orders were read 2.9 s ago");
 
     fleet.advance(100);
     fleet.submit(2, record("plain", vec![step(1, 1)]));
     fleet.advance(2_000);
     assert_eq!(fleet.running().len(), 1);
-    let told = decisions(&fleet);
-    let unread = |decision: &&Decision| matches!(decision, Decision::OrdersUnread { .. });
-    assert_eq!(told.iter().filter(unread).count(), 1, "it is told once");
+    let logged = decisions(&fleet);
+    let is_stale = |decision: &&Decision| matches!(decision, Decision::OrdersUnread { .. });
+    assert_eq!(
+        logged.iter().filter(is_stale).count(),
+        1,
+        "it is logged once"
+    );
 
     order(&mut fleet, &[]);
     fleet.settle();
     assert_eq!(
         fleet.running().len(),
         2,
-        "it goes on as soon as it has read them"
+        "it continues as soon as it has read them"
     );
 }
 
-/// What is drawn for the property below.
+/// A random event for the property test below.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// The operators name these data centres, as bits.
+enum Event {
+    /// The operators' orders: a set of data centres, as bits of their indexes.
     Order(u8),
     Submit {
         queue: usize,
@@ -606,11 +622,11 @@
         accelerators: u32,
         kind: u8,
     },
-    /// Whatever runs on a worker ends.
+    /// All runs on a worker end in this way.
     End(usize, EndKind),
-    Silent(usize),
-    Answering(usize),
-    /// Stops are answered and take effect, or only answered.
+    Unresponsive(usize),
+    Responsive(usize),
+    /// Whether stops take effect; otherwise they are only answered.
     Stops(bool),
     NextOwner,
     Advance(u64),
@@ -619,44 +635,44 @@
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 const WORKERS: usize = 6;
 
-/// Worker `at`: two in each data centre.
+/// The name of worker `at`; there are two in each data centre.
 fn worker_name(at: usize) -> String {
     format!("{}{}", DATA_CENTRES[at / 2], at % 2)
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     let end = prop_oneof![
         4 => Just(EndKind::Done),
         1 => Just(EndKind::Failed),
         1 => Just(EndKind::Stopped),
     ];
     prop_oneof![
-        4 => (0u8..8).prop_map(Happening::Order),
+        4 => (0u8..8).prop_map(Event::Order),
         6 => (0usize..3, 1u32..6, prop_oneof![Just(1u32), Just(2), Just(4), Just(8)], 0u8..5)
-            .prop_map(|(queue, count, accelerators, kind)| Happening::Submit {
+            .prop_map(|(queue, count, accelerators, kind)| Event::Submit {
                 queue, count, accelerators, kind
             }),
-        5 => (0..WORKERS, end).prop_map(|(at, kind)| Happening::End(at, kind)),
-        2 => (0..WORKERS).prop_map(Happening::Silent),
-        3 => (0..WORKERS).prop_map(Happening::Answering),
-        1 => any::<bool>().prop_map(Happening::Stops),
-        1 => Just(Happening::NextOwner),
-        8 => (1u64..900).prop_map(Happening::Advance),
+        5 => (0..WORKERS, end).prop_map(|(at, kind)| Event::End(at, kind)),
+        2 => (0..WORKERS).prop_map(Event::Unresponsive),
+        3 => (0..WORKERS).prop_map(Event::Responsive),
+        1 => any::<bool>().prop_map(Event::Stops),
+        1 => Just(Event::NextOwner),
+        8 => (1u64..900).prop_map(Event::Advance),
     ]
 }
 
-/// A fleet under drawn orders, with what was asked of it.
-struct Drawn {
+/// A fleet under random events, with the jobs and orders that it was given.
+struct RandomFleet {
     fleet: Fleet,
-    named: Vec<&'static str>,
+    emptied: Vec<&'static str>,
     jobs: Vec<(JobId, fuchsiaslip::scheduler::JobRecord)>,
     epoch: u64,
-    /// Starts that were checked.
+    /// Number of starts that were checked.
     checked: usize,
 }
 
-impl Drawn {
-    fn begin() -> Self {
+impl RandomFleet {
+    fn start() -> Self {
         let mut fleet = Fleet::with_workers(0);
         for at in 0..WORKERS {
             let data_centre = DATA_CENTRES[at / 2];
@@ -665,28 +681,28 @@
         fleet.advance(500);
         Self {
             fleet,
-            named: Vec::new(),
+            emptied: Vec::new(),
             jobs: Vec::new(),
             epoch: 1,
             checked: 0,
         }
     }
 
-    fn happen(&mut self, happening: &Happening) {
-        match happening {
-            Happening::Order(bits) => {
-                let named = DATA_CENTRES.iter().enumerate();
-                let named = named.filter(|(at, _)| bits & (1 << at) != 0);
-                self.named = named.map(|(_, name)| *name).collect();
-                order(&mut self.fleet, &self.named);
+    fn apply(&mut self, event: &Event) {
+        match event {
+            Event::Order(bits) => {
+                let selected = DATA_CENTRES.iter().enumerate();
+                let selected = selected.filter(|(at, _)| bits & (1 << at) != 0);
+                self.emptied = selected.map(|(_, name)| *name).collect();
+                order(&mut self.fleet, &self.emptied);
             }
-            Happening::Submit {
+            Event::Submit {
                 queue,
                 count,
                 accelerators,
                 kind,
             } => self.submit(*queue, *count, *accelerators, *kind),
-            Happening::End(at, kind) => {
+            Event::End(at, kind) => {
                 let worker = self.fleet.workers.get_mut(&worker_name(*at));
                 let fake = worker.expect("a known worker");
                 let names: Vec<_> = fake.running.keys().copied().collect();
@@ -694,20 +710,22 @@
                     fake.end(name, *kind);
                 }
             }
-            Happening::Silent(at) => self.fleet.silent.push(worker_name(*at)),
-            Happening::Answering(at) => {
+            Event::Unresponsive(at) => self.fleet.silent.push(worker_name(*at)),
+            Event::Responsive(at) => {
                 let name = worker_name(*at);
-                self.fleet.silent.retain(|silent| *silent != name);
+                self.fleet
+                    .silent
+                    .retain(|unresponsive| *unresponsive != name);
             }
-            Happening::Stops(effective) => self.fleet.stops_take_effect = *effective,
-            Happening::NextOwner => {
+            Event::Stops(effective) => self.fleet.stops_take_effect = *effective,
+            Event::NextOwner => {
                 self.epoch += 1;
                 self.check();
                 self.fleet = self.fleet.next_owner(self.epoch, &self.jobs, true);
-                order(&mut self.fleet, &self.named);
+                order(&mut self.fleet, &self.emptied);
                 self.checked = 0;
             }
-            Happening::Advance(by_ms) => self.fleet.advance(*by_ms),
+            Event::Advance(by_ms) => self.fleet.advance(*by_ms),
         }
         self.fleet.settle();
         self.check();
@@ -716,7 +734,7 @@
     fn submit(&mut self, queue: usize, count: u32, accelerators: u32, kind: u8) {
         let queue = ["urgent", "plain", "patient"][queue];
         let plain = step(count, accelerators);
-        let asked = match kind {
+        let step_spec = match kind {
             0 => gang(count.min(4), accelerators),
             1 => StepSpec {
                 same_rack: true,
@@ -733,26 +751,29 @@
             _ => plain,
         };
         let id = self.jobs.len() as u64 + 1;
-        let record = record(queue, vec![asked]);
+        let record = record(queue, vec![step_spec]);
         let id = self.fleet.submit(id, record.clone());
         self.jobs.push((id, record));
     }
 
-    /// No start since the last check went to a data centre that is named now:
-    /// each order is followed by a check, as is each start.
+    /// Checks that no start since the last check went to a data centre that is being
+    /// emptied. Each order and each start is followed by a check.
     fn check(&mut self) {
         for (name, worker, at_ms) in &self.fleet.starts[self.checked..] {
-            let named = self.named.iter().any(|named| worker.starts_with(named));
-            assert!(!named, "{name:?} was started on {worker} at {at_ms}");
+            let emptied = self
+                .emptied
+                .iter()
+                .any(|data_centre| worker.starts_with(data_centre));
+            assert!(!emptied, "{name:?} was started on {worker} at {at_ms}");
         }
         self.checked = self.fleet.starts.len();
     }
 
-    /// Everything is given back and answers: every job comes to its end.
+    /// Withdraws all orders, lets everything respond, and checks that every job ends.
     fn settle(&mut self) {
         self.fleet.silent.clear();
         self.fleet.stops_take_effect = true;
-        self.named.clear();
+        self.emptied.clear();
         order(&mut self.fleet, &[]);
         for _ in 0..200 {
             self.fleet.advance(100);
@@ -761,15 +782,15 @@
             }
         }
         for (id, record) in &self.jobs {
-            let view = self.fleet.scheduler.job_status(*id);
-            let over = matches!(view, Some(JobStatus::Completed | JobStatus::Failed));
-            assert!(over, "{id} is {view:?}: {record:?}");
+            let status = self.fleet.scheduler.job_status(*id);
+            let has_ended = matches!(status, Some(JobStatus::Completed | JobStatus::Failed));
+            assert!(has_ended, "{id} is {status:?}: {record:?}");
         }
     }
 }
 
 #[test]
-fn whatever_happens_nothing_starts_in_a_data_centre_that_is_emptied() {
+fn no_sequence_of_events_starts_a_task_in_an_emptied_data_centre() {
     const CASES: u32 = 160;
     const SEED: [u8; 32] = *b"drawn orders to empty, seed 0001";
     let config = Config {
@@ -780,12 +801,12 @@
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let mut runner = TestRunner::new_with_rng(config, random);
 
-    let outcome = runner.run(&prop::collection::vec(happening(), 1..60), |happenings| {
-        let mut drawn = Drawn::begin();
-        for happening in &happenings {
-            drawn.happen(happening);
+    let outcome = runner.run(&prop::collection::vec(event(), 1..60), |events| {
+        let mut random_fleet = RandomFleet::start();
+        for event in &events {
+            random_fleet.apply(event);
         }
-        drawn.settle();
+        random_fleet.settle();
         Ok(())
     });
 
--- a/tests/evacuation/whole_path.rs
+++ b/tests/evacuation/whole_path.rs
@@ -1,5 +1,5 @@
-//! Emptying a data centre on the operators' order, on the whole path: how daemons
-//! come to know the order, and real daemons beside a stand-in of the platform.
+//! Emptying a data centre on the operators' order: how daemons learn of the order,
+//! and end-to-end tests with real daemons beside a stand-in of the platform.
 
 use super::daemons::{
     self,
@@ -23,12 +23,12 @@
     Instant, //
 };
 
-/// The bound within which an order has to be in force, as the settings of the
-/// daemons name it.
+/// The bound within which an order has to be in force, as set in the daemons'
+/// settings.
 const ORDER_BOUND: Duration = Duration::from_millis(5_000);
-/// A start this long after an order's acknowledgement is late where the store
-/// answers; a machine that is busy with other tests takes some of it.
-const PROMPT: Duration = Duration::from_millis(500);
+/// Bound on starts after an order is acknowledged, while the store answers. A busy
+/// test machine uses up some of it.
+const START_BOUND: Duration = Duration::from_millis(500);
 
 /// Four workers: 0 and 1 in the data centre `east`, 2 and 3 in `west`.
 fn two_data_centres(test: u8, daemons: u8) -> (Operator, Vec<Daemon>) {
@@ -51,12 +51,12 @@
     );
 }
 
-/// How long after `from` the last start in `east` was, if there was any.
+/// How long after `from` the last start in `east` was; `None` if there was none.
 fn last_start_in_east(operator: &Operator, from: Instant) -> Option<Duration> {
     let world = operator.world();
     let there = world.records.iter().filter(|run| run.worker < 2);
-    let after = there.filter_map(|run| run.began.checked_duration_since(from));
-    after.max()
+    let delays = there.filter_map(|run| run.began.checked_duration_since(from));
+    delays.max()
 }
 
 fn starts_in_west(operator: &Operator, from: Instant) -> usize {
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn an_order_is_kept_whoever_owns_and_the_data_centre_is_used_again_at_once() {
-    // Operators write bytes that nobody can read under a data centre's key. The
-    // key names the data centre. Then the owner is killed, the history is
-    // dropped, and the next owner has to keep the order as well.
+fn an_order_survives_a_change_of_owner_and_the_data_centre_is_used_again_at_once() {
+    // Operators write bytes that cannot be decoded under a data centre's key; the key
+    // alone names the data centre. Then the owner is killed, the history is dropped,
+    // and the next owner has to obey the order as well.
     let (operator, mut daemons) = two_data_centres(210, 2);
     submit(&daemons[0], 1, 600, 200);
     wait_until("east is in use", || {
@@ -92,9 +92,12 @@
     });
     std::thread::sleep(Duration::from_millis(500));
 
-    let late = last_start_in_east(&operator, ordered);
-    println!("last start in east after the order: {late:?}");
-    assert!(late.is_none_or(|late| late < PROMPT), "{late:?}");
+    let last_start = last_start_in_east(&operator, ordered);
+    println!("last start in east after the order: {last_start:?}");
+    assert!(
+        last_start.is_none_or(|after| after < START_BOUND),
+        "{last_start:?}"
+    );
 
     operator.world().give_back("east");
     let given_back = Instant::now();
@@ -102,16 +105,16 @@
         last_start_in_east(&operator, given_back).is_some()
     });
     println!("used again after {:?}", given_back.elapsed());
-    assert!(given_back.elapsed() < 2 * PROMPT);
+    assert!(given_back.elapsed() < 2 * START_BOUND);
     let other = &daemons[1 - owner];
     wait_until("the job is completed", || completed(other, 1));
 }
 
 #[test]
-fn an_order_that_comes_while_the_store_is_silent_is_kept_within_its_bound() {
-    // The store falls silent for the daemons and goes on for the operators, who
-    // give an order. The owner cannot know it; it stops starting tasks before
-    // the order has to be in force, and goes on when it has read it.
+fn an_order_given_during_a_store_outage_is_obeyed_within_its_bound() {
+    // The store stops answering the daemons but still answers the operators, who give
+    // an order. The owner cannot know the order. It stops starting tasks before the
+    // order has to be in force, and continues once it has read the order.
     let (operator, daemons) = two_data_centres(211, 1);
     submit(&daemons[0], 1, 1_200, 300);
     wait_until("east is in use", || {
@@ -122,31 +125,39 @@
     operator.world().empty("east", b"{}");
     let ordered = Instant::now();
     std::thread::sleep(ORDER_BOUND + Duration::from_millis(1_500));
-    let late = last_start_in_east(&operator, ordered);
-    println!("last start in east after the order: {late:?}");
+    let last_start = last_start_in_east(&operator, ordered);
+    println!("last start in east after the order: {last_start:?}");
     operator.world().mode = StoreMode::Serving;
-    let back = Instant::now();
-    wait_until("west is used again", || starts_in_west(&operator, back) > 0);
-    println!("first start after the store was back: {:?}", back.elapsed());
+    let recovered = Instant::now();
+    wait_until("west is used again", || {
+        starts_in_west(&operator, recovered) > 0
+    });
+    println!(
+        "first start after the store recovered: {:?}",
+        recovered.elapsed()
+    );
     std::thread::sleep(Duration::from_millis(600));
 
     assert!(
-        late.is_some(),
+        last_start.is_some(),
         "an owner starts tasks through a short outage"
     );
-    let late = last_start_in_east(&operator, ordered);
-    assert!(late.is_some_and(|late| late < ORDER_BOUND), "{late:?}");
+    let last_start = last_start_in_east(&operator, ordered);
+    assert!(
+        last_start.is_some_and(|after| after < ORDER_BOUND),
+        "{last_start:?}"
+    );
     operator.world().give_back("east");
     wait_until("the job is completed", || completed(&daemons[0], 1));
 }
 
 #[test]
-fn an_order_for_everything_lets_jobs_be_accepted_and_wait() {
+fn jobs_are_accepted_and_wait_while_everything_is_emptied() {
     let (operator, daemons) = two_data_centres(212, 1);
     operator.world().empty("east", b"{}");
     operator.world().empty("west", b"{}");
     operator.world().empty("nowhere", b"{}");
-    std::thread::sleep(PROMPT);
+    std::thread::sleep(START_BOUND);
 
     submit(&daemons[0], 1, 4, 50);
     std::thread::sleep(Duration::from_secs(1));
@@ -162,8 +173,8 @@
     assert!(operator.world().records.iter().all(|run| run.worker >= 2));
 }
 
-/// What `fuchsiaslip fleet` prints, of a job if one is named.
-fn show(operator: &Operator, job: Option<u64>) -> String {
+/// What `fuchsiaslip fleet` prints for the fleet, or for a job if one is given.
+fn fleet_output(operator: &Operator, job: Option<u64>) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_fuchsiaslip"))
         .args(["fleet", "--store", &operator.store.to_string()])
         .args(job.map(|job| format!("{job:016x}")))
@@ -172,10 +183,11 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-/// For how long owners know that `east` is emptied, as people are shown.
+/// How long owners have known that `east` is emptied, as `fuchsiaslip fleet` prints
+/// it.
 fn shown_age_ms(operator: &Operator) -> Option<u64> {
-    let shown = show(operator, None);
-    let line = shown
+    let output = fleet_output(operator, None);
+    let line = output
         .lines()
         .find(|line| line.starts_with("emptied east"))?;
     let (_, age) = line.split_once("known to owners for ")?;
@@ -183,7 +195,7 @@
 }
 
 #[test]
-fn a_person_sees_the_order_its_age_and_what_a_job_waits_for() {
+fn the_fleet_command_shows_an_order_and_its_age_after_a_change_of_owner() {
     let (operator, mut daemons) = two_data_centres(213, 2);
     operator.world().empty("east", b"{}");
     let ordered = Instant::now();
@@ -191,7 +203,7 @@
     wait_until("an owner knows the order", || {
         shown_age_ms(&operator).is_some()
     });
-    let job = show(&operator, Some(1));
+    let job = fleet_output(&operator, Some(1));
     assert!(job.contains("\"east\""), "{job}");
 
     let owner = operator.world().value("owner").expect("an owner");
@@ -199,22 +211,22 @@
     wait_until("the next daemon owns", || {
         operator.world().value("owner").expect("an owner")["epoch"] != owner["epoch"]
     });
-    std::thread::sleep(PROMPT);
+    std::thread::sleep(START_BOUND);
     let age_ms = shown_age_ms(&operator).map(Duration::from_millis);
     let longest = ordered.elapsed();
     assert!(
-        age_ms.is_some_and(|age| age + 3 * PROMPT > longest && age <= longest),
-        "its age outlives the owner: {age_ms:?} of {longest:?}"
+        age_ms.is_some_and(|age| age + 3 * START_BOUND > longest && age <= longest),
+        "the age includes the time before the takeover: {age_ms:?} of {longest:?}"
     );
 
     operator.world().give_back("east");
-    wait_until("nothing is stored of it", || {
+    wait_until("the record of the emptied data centre is deleted", || {
         operator.world().keys("emptied/").is_empty()
     });
-    assert!(!show(&operator, None).contains("emptied"));
+    assert!(!fleet_output(&operator, None).contains("emptied"));
 }
 
-fn named(orders: &EmptyingOrders) -> Vec<String> {
+fn data_centres_of(orders: &EmptyingOrders) -> Vec<String> {
     let orders = orders.in_force().into_iter();
     orders.map(|order| order.data_centre).collect()
 }
@@ -224,22 +236,22 @@
 
 #[test]
 fn a_list_and_changes_that_overtake_each_other_do_not_bring_old_orders_back() {
-    // A daemon takes over: its list is on its way while its watch shows that an
+    // A daemon takes over. While its list is on the way, its watch shows that one
     // order was taken back and another was given.
     let mut orders = EmptyingOrders::default();
     orders.apply_list([(EAST, 5)].into_iter(), 6, 1_000);
     orders.apply_changes([(WEST, 8, true), (EAST, 7, false)].into_iter(), 8, 1_100);
-    assert_eq!(named(&orders), ["west"]);
+    assert_eq!(data_centres_of(&orders), ["west"]);
 
     orders.apply_list([(EAST, 5)].into_iter(), 6, 1_200);
-    assert_eq!(named(&orders), ["west"], "the list is older");
+    assert_eq!(data_centres_of(&orders), ["west"], "the list is older");
     assert_eq!(orders.checked_ms(), 1_100);
     orders.apply_changes([(EAST, 5, true)].into_iter(), 6, 1_050);
-    assert_eq!(named(&orders), ["west"], "the changes are older");
+    assert_eq!(data_centres_of(&orders), ["west"], "the changes are older");
 
     orders.apply_list([(EAST, 9)].into_iter(), 9, 1_300);
     orders.apply_changes([(WEST, 8, true), (EAST, 9, true)].into_iter(), 9, 1_250);
-    assert_eq!(named(&orders), ["east"], "the list is newer");
+    assert_eq!(data_centres_of(&orders), ["east"], "the list is newer");
     assert_eq!(orders.checked_ms(), 1_300);
 }
 
@@ -251,5 +263,8 @@
     assert!(orders.in_force().is_empty());
 
     orders.apply_changes([("op/evacuate/", 7, true)].into_iter(), 7, 1_200);
-    assert!(orders.in_force().is_empty(), "a key without a name");
+    assert!(
+        orders.in_force().is_empty(),
+        "a key that names no data centre"
+    );
 }
--- a/tests/owner_cut_off.rs
+++ b/tests/owner_cut_off.rs
@@ -1,5 +1,5 @@
-//! Real daemons beside a stand-in of the platform, whose owner cannot reach the
-//! store while it reaches all workers.
+//! Real daemons beside a stand-in of the platform, whose owner cannot reach the store
+//! while it reaches all workers.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -16,11 +16,11 @@
 use daemons::{
     epoch,
     fleet,
-    fleet_behind,
+    fleet_with_stores,
     is_completed,
     job,
     path,
-    wait_until_looking, //
+    wait_until_with_interval, //
 };
 use operator::{
     Operator,
@@ -46,16 +46,19 @@
     Instant, //
 };
 
-/// A test looks this often: what it waits for is over soon.
-const PAUSE: Duration = Duration::from_millis(5);
+/// How often a test checks a condition; what these tests wait for is over soon.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const DAEMONS: u8 = 3;
-/// Long enough that the owner has stored all that a start needs.
-const RUN: Duration = Duration::from_millis(1_500);
-/// The owner loses the store so long before the end of the run: it hears the
-/// ends, and no other daemon owns yet, which takes half a second.
+/// Run time of each task: long enough that the owner has stored all that a start
+/// needs.
+const RUN_TIME: Duration = Duration::from_millis(1_500);
+/// The owner loses the store this long before the end of the runs. The owner then
+/// receives the ends, and no other daemon owns yet, since a takeover needs half a
+/// second.
 const CUT_BEFORE_END: Duration = Duration::from_millis(100);
-/// An owner that lets go of an end does so within a look or two.
-const LETS_GO: Duration = Duration::from_millis(200);
+/// An owner that acknowledges an end does so within one or two polls, which take less
+/// than this.
+const ACKNOWLEDGEMENT_TIME: Duration = Duration::from_millis(200);
 
 struct Fleet {
     operator: Operator,
@@ -64,14 +67,14 @@
 }
 
 impl Fleet {
-    fn begin(test: u8, workers: usize) -> Self {
+    fn spawn(test: u8, workers: usize) -> Self {
         let operator = Operator::spawn(workers);
         operator.world().configure(1, &[("q", 1)], 5);
         let links = (0..DAEMONS).map(|_| Proxy::spawn(operator.store));
         let store_links: Vec<Proxy> = links.collect();
         let stores: Vec<SocketAddr> = store_links.iter().map(|link| link.address).collect();
         Self {
-            daemons: fleet_behind(test, &stores),
+            daemons: fleet_with_stores(test, &stores),
             operator,
             store_links,
         }
@@ -81,7 +84,7 @@
         let root = self.operator.world().value("owner").expect("an owner");
         let name = root["owner"].as_str().unwrap_or_default();
         let number = name.strip_prefix('d').and_then(|text| text.parse().ok());
-        number.expect("daemons are named so")
+        number.expect("the name is d and a number")
     }
 
     fn epoch(&self) -> u64 {
@@ -103,33 +106,34 @@
     }
 }
 
-/// A daemon that took the epoch tries so long to read what is stored.
-const READS_TRIED: Duration = Duration::from_millis(1_500);
+/// Longer than a daemon that took the epoch tries to read the stored state.
+const READ_ATTEMPTS_TIME: Duration = Duration::from_millis(1_500);
 
 fn gang(members: u32) -> Value {
-    json!({ "spec": RUN.as_millis().to_string(),
+    json!({ "spec": RUN_TIME.as_millis().to_string(),
         "steps": [{ "count": members, "cpu": 1000, "mem_mb": 100, "gpu": 8, "gang": true,
-            "estimated_ms": RUN.as_millis() as u64 }] })
+            "estimated_ms": RUN_TIME.as_millis() as u64 }] })
 }
 
-fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_until_looking(PAUSE, what, holds);
+fn wait_until(what: &str, condition: impl FnMut() -> bool) {
+    wait_until_with_interval(CHECK_INTERVAL, what, condition);
 }
 
-/// A gang that was done ran again. Its owner could not reach the store when the
-/// members ended, and could reach their workers: it waited for the store with
-/// the end that it heard first, and let go of the others, since the job was over
-/// in its memory. The worker of the first one was lost before the next owner
-/// asked it, so nobody knew any more that the gang was done.
+/// Guards against a completed gang that runs again. The owner could not reach the
+/// store when the members ended, but could reach their workers. It kept the first end
+/// until the store would answer, and acknowledged the other ends, since the job was
+/// over in its memory. The worker with the first end was lost before the next owner
+/// polled it, so nobody knew any more that the gang had completed.
 #[test]
 fn a_gang_whose_owner_lost_the_store_is_not_run_again() {
     const JOB: u64 = 1;
-    let fleet = Fleet::begin(214, 2);
+    let fleet = Fleet::spawn(214, 2);
     fleet.submit(JOB, &gang(2));
     wait_until("both members run", || fleet.records().len() == 2);
     let (owner, epoch) = (fleet.owner(), fleet.epoch());
-    let began = fleet.records().iter().map(|run| run.began).max().unwrap();
-    let until_cut = (began + RUN - CUT_BEFORE_END).saturating_duration_since(Instant::now());
+    let last_start = fleet.records().iter().map(|run| run.began).max().unwrap();
+    let until_cut =
+        (last_start + RUN_TIME - CUT_BEFORE_END).saturating_duration_since(Instant::now());
     std::thread::sleep(until_cut);
 
     fleet.store_links[owner].set_mode(LinkMode::Cut);
@@ -137,17 +141,17 @@
         fleet.records().iter().all(|run| run.ended.is_some())
     });
     let ended = Instant::now();
-    let lost = loop {
+    let lost_worker = loop {
         let listed: Vec<usize> = (0..2)
             .filter(|&at| fleet.operator.world().listed_ends(at) > 0)
             .collect();
-        if listed.len() == 1 || ended.elapsed() >= LETS_GO {
+        if listed.len() == 1 || ended.elapsed() >= ACKNOWLEDGEMENT_TIME {
             break listed[0];
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(CHECK_INTERVAL);
     };
     assert_eq!(fleet.epoch(), epoch, "nobody else owns yet");
-    fleet.operator.world().crash_worker(lost);
+    fleet.operator.world().crash_worker(lost_worker);
 
     let other = (owner + 1) % usize::from(DAEMONS);
     wait_until("the job is completed", || fleet.is_completed(other, JOB));
@@ -155,14 +159,15 @@
     assert_eq!(fleet.records().len(), 2, "{:#?}", fleet.records());
 }
 
-/// No daemon owned for as long as all of them lived. The owner had lost the store;
-/// another one took the next epoch, could not read what is stored, and gave up.
-/// By then the first one had the store again and was heard, so the second waited
-/// for it; it had stepped down, and waited for the one that the store names.
+/// Guards against a fleet without an owner. The owner had lost the store; another
+/// daemon took the next epoch, could not read the stored state, and gave up. By then
+/// the first owner reached the store again and sent heartbeats, so the second daemon
+/// waited for it. But it had stepped down, and waited for the one that the store
+/// names.
 #[test]
-fn a_daemon_that_took_the_epoch_and_could_not_begin_tries_again() {
+fn a_daemon_that_took_the_epoch_but_could_not_read_the_store_tries_again() {
     const JOB: u64 = 1;
-    let fleet = Fleet::begin(215, 2);
+    let fleet = Fleet::spawn(215, 2);
     wait_until("an owner has begun", || {
         fleet.operator.world().value("roster").is_some()
     });
@@ -173,30 +178,33 @@
 
     fleet.store_links[owner].set_mode(LinkMode::Passing);
     fleet.store_links[owner].reset_open();
-    std::thread::sleep(READS_TRIED);
+    std::thread::sleep(READ_ATTEMPTS_TIME);
     fleet.operator.world().mode = StoreMode::Serving;
 
     fleet.submit(JOB, &gang(2));
     wait_until("the job is completed", || fleet.is_completed(owner, JOB));
 }
 
-/// A task could run twice at a time after two changes of owner. The first owner was cut
-/// off and lived; the second one crashed soon after its takeover and was back. The third
-/// knew only that the second one's process was over, and waited for one lease, not for
-/// the time in which the first one may still give leases.
+/// Guards against a task that runs twice at the same time after two changes of owner.
+/// The first owner was cut off but still running. The second one crashed soon after
+/// its takeover and restarted. The third knew only that the second one's process had
+/// ended. It waited for one lease, instead of the time in which the first owner may
+/// still grant leases.
 #[test]
-fn a_restarted_successor_does_not_hide_an_owner_that_lives() {
-    /// An owner gives leases of 7 s for 6 s after it last confirmed its epoch.
-    const LEASES_OVER: Duration = Duration::from_millis(11_500);
+fn a_restarted_second_owner_does_not_hide_a_first_one_that_still_runs() {
+    /// An owner grants leases of 7 s until 6 s after it last confirmed its epoch.
+    const LEASE_EXPIRY_TIME: Duration = Duration::from_millis(11_500);
     let operator = Operator::spawn(2);
     operator.world().configure(1, &[("q", 1)], 5);
     let mut daemons = fleet(217, 2, &operator);
-    wait_until_looking(PAUSE, "an owner", || {
+    wait_until_with_interval(CHECK_INTERVAL, "an owner", || {
         operator.world().value("roster").is_some()
     });
     std::thread::sleep(Duration::from_secs(2));
     daemons[0].request("POST", &path(1), &job(1, 60_000));
-    wait_until_looking(PAUSE, "it runs", || operator.world().records.len() == 1);
+    wait_until_with_interval(CHECK_INTERVAL, "it runs", || {
+        operator.world().records.len() == 1
+    });
     std::thread::sleep(Duration::from_secs(1));
     let first = owner(&operator);
     let first_epoch = epoch(&operator);
@@ -204,28 +212,35 @@
 
     operator.world().cut_worker(worker, true);
     daemons[first].signal(Signal::STOP);
-    wait_until_looking(PAUSE, "a second owner", || epoch(&operator) > first_epoch);
+    wait_until_with_interval(CHECK_INTERVAL, "a second owner", || {
+        epoch(&operator) > first_epoch
+    });
     let second = owner(&operator);
     let second_epoch = epoch(&operator);
-    std::thread::sleep(LETS_GO);
+    std::thread::sleep(ACKNOWLEDGEMENT_TIME);
     daemons[second].kill();
     daemons[second].start();
-    wait_until_looking(PAUSE, "a third owner", || epoch(&operator) > second_epoch);
-    let taken = Instant::now();
-    wait_until_looking(PAUSE, "the task starts anew", || {
+    wait_until_with_interval(CHECK_INTERVAL, "a third owner", || {
+        epoch(&operator) > second_epoch
+    });
+    let taken_over_at = Instant::now();
+    wait_until_with_interval(CHECK_INTERVAL, "the task starts again", || {
         operator.world().records.len() > 1
     });
-    let waited = taken.elapsed();
+    let waited = taken_over_at.elapsed();
     daemons[first].signal(Signal::CONT);
 
     assert_ne!(first, second);
-    assert!(waited >= LEASES_OVER, "it waited {waited:?}");
+    assert!(
+        waited >= LEASE_EXPIRY_TIME,
+        "the third owner waited only {waited:?}"
+    );
 }
 
 /// The number of the daemon that the store names as the owner.
 fn owner(operator: &Operator) -> usize {
     let root = operator.world().value("owner").expect("an owner");
     let name = root["owner"].as_str().expect("a name");
-    let number = name.strip_prefix('d').expect("a daemon of the test");
+    let number = name.strip_prefix('d').expect("the name is d and a number");
     number.parse().expect("a number")
 }
--- a/tests/support/daemons.rs
+++ b/tests/support/daemons.rs
@@ -1,5 +1,4 @@
-//! Fleets of real daemons beside a stand-in of the platform, and what clients ask
-//! of them.
+//! Fleets of real daemons beside a stand-in of the platform, and requests to them.
 
 use super::operator::Operator;
 use super::processes::{
@@ -17,32 +16,37 @@
     Instant, //
 };
 
-/// Bound on anything that a test waits for.
-pub const PATIENCE: Duration = Duration::from_secs(40);
-/// How long a test waits before it looks again.
-pub const PAUSE: Duration = Duration::from_millis(20);
+/// Timeout for any condition that a test waits for.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+/// How often a test checks a condition that it waits for.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until something holds.
-pub fn wait_until(what: &str, holds: impl FnMut() -> bool) {
-    wait_until_looking(PAUSE, what, holds);
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, condition: impl FnMut() -> bool) {
+    wait_until_with_interval(CHECK_INTERVAL, what, condition);
 }
 
-/// The same, with a look after each `pause`.
-pub fn wait_until_looking(pause: Duration, what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
-        std::thread::sleep(pause);
+/// Like [`wait_until`], but checks the condition once in each `interval`.
+pub fn wait_until_with_interval(
+    interval: Duration,
+    what: &str,
+    mut condition: impl FnMut() -> bool,
+) {
+    let until = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
+        std::thread::sleep(interval);
     }
 }
 
-/// Ready daemons `d0`, `d1`, ... beside the platform; `test` as of [`loopback`].
+/// Starts daemons `d0`, `d1`, ... beside the platform, and waits until they are
+/// ready. `test` is that of [`loopback`].
 pub fn fleet(test: u8, count: u8, operator: &Operator) -> Vec<Daemon> {
-    fleet_behind(test, &vec![operator.store; usize::from(count)])
+    fleet_with_stores(test, &vec![operator.store; usize::from(count)])
 }
 
-/// The same, one daemon for each of the addresses, at which it finds the store.
-pub fn fleet_behind(test: u8, stores: &[SocketAddr]) -> Vec<Daemon> {
+/// Like [`fleet`], with one daemon for each address of the store.
+pub fn fleet_with_stores(test: u8, stores: &[SocketAddr]) -> Vec<Daemon> {
     let daemons: Vec<Daemon> = (0..)
         .zip(stores)
         .map(|(at, store)| Daemon::spawn(&format!("d{at}"), loopback(test, at), *store))
@@ -53,17 +57,17 @@
     daemons
 }
 
-/// Where clients find a job of the queue `q`.
+/// The path of a job in the queue `q`.
 pub fn path(job: u64) -> String {
     format!("/q/{job:016x}")
 }
 
-/// A job of so many tasks.
+/// The body of a job with one step of `tasks` tasks, each of which runs for `run_ms`.
 pub fn job(tasks: u32, run_ms: u64) -> String {
     job_of_steps(&[tasks], run_ms)
 }
 
-/// A job of so many tasks in each of its steps, one after the other.
+/// The body of a job with `steps[i]` tasks in each step, one step after the other.
 pub fn job_of_steps(steps: &[u32], run_ms: u64) -> String {
     let step = |(at, &count): (usize, &u32)| {
         let mut step = json!({ "count": count, "cpu": 1000, "mem_mb": 100, "gpu": 1,
@@ -77,12 +81,12 @@
     json!({ "spec": run_ms.to_string(), "steps": steps }).to_string()
 }
 
-/// What a daemon shows of a job.
+/// The state that a daemon reports for a job of the queue `q`.
 pub fn state(daemon: &Daemon, job: u64) -> String {
     state_at(daemon, &path(job))
 }
 
-/// What a daemon shows of the job at a path.
+/// The state that a daemon reports for the job at a path.
 pub fn state_at(daemon: &Daemon, path: &str) -> String {
     match daemon.request("GET", path, "") {
         Answer::Status(200, body) => body,
@@ -90,12 +94,12 @@
     }
 }
 
-/// Whether a daemon shows a job as completed.
+/// Whether a daemon reports a job as completed.
 pub fn is_completed(daemon: &Daemon, job: u64) -> bool {
     state(daemon, job) == r#"{"state":"completed"}"#
 }
 
-/// The epoch of the owner that the store names; 0 if it names none.
+/// The epoch in the root record in the store; 0 if there is none.
 pub fn epoch(operator: &Operator) -> u64 {
     let root = operator.world().value("owner");
     root.and_then(|root| root["epoch"].as_u64()).unwrap_or(0)
--- a/tests/support/processes.rs
+++ b/tests/support/processes.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes of their own on loopback, and clients that use them.
+//! Daemons as separate processes on loopback addresses, and their clients.
 
 use rustix::process::{
     Pid,
@@ -26,26 +26,26 @@
 const READINESS_PORT: u16 = 18_523;
 const FIRST_INTERNAL_PORT: u16 = 17_000;
 
-/// A daemon's process; killed when it is dropped.
+/// A daemon's process. It is killed when the value is dropped.
 pub struct Daemon {
     pub ip: Ipv4Addr,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// What a client got.
+/// The answer that a client received.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
     Status(u16, String),
-    /// No whole answer: the client asks again.
+    /// No complete answer; a client would repeat the request.
     None,
 }
 
-/// An address of the loopback range that no other test uses: `test` is one of the
-/// numbers that a test file has for itself, since daemons of two files that are
-/// run side by side would take each other's ports.
+/// A loopback address that no other test uses. `test` is one of the numbers reserved
+/// for a test file, since daemons of two files that run at the same time would
+/// otherwise take each other's ports.
 ///
-/// | numbers | who uses them |
+/// | numbers | used by |
 /// | --- | --- |
 /// | 1 to 7, 9, 216 | `cluster.rs` |
 /// | 8 | `settings.rs` |
@@ -56,7 +56,7 @@
 /// | 219 | `crashes/whole_path.rs` |
 /// | 230 to 238 | `foreign/path.rs` |
 ///
-/// Benches are run by themselves and may use any; 254 is the highest.
+/// Benches run alone and may use any number; 254 is the highest.
 pub fn loopback(test: u8, at: u8) -> Ipv4Addr {
     let process = std::process::id();
     Ipv4Addr::new(127, 1 + test, (process % 250) as u8, 1 + at)
@@ -86,7 +86,7 @@
         daemon
     }
 
-    /// Starts the process again.
+    /// Starts the process, again if it has ended.
     pub fn start(&mut self) {
         let log = std::fs::File::options()
             .append(true)
@@ -102,7 +102,7 @@
         self.child = Some(child.expect("the daemon starts"));
     }
 
-    /// Where the lives of this daemon log.
+    /// The log file of all incarnations of this daemon.
     pub fn log(&self) -> PathBuf {
         self.settings.with_extension("log")
     }
@@ -111,12 +111,12 @@
     pub fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else { return };
         if let Some(pid) = Pid::from_raw(child.id() as i32) {
-            // It may have ended by itself.
+            // It may have exited already.
             kill_process(pid, signal).ok();
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().ok();
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself. Returns whether it exited with
+    /// success.
     pub fn wait(&mut self) -> bool {
         let ended = self.child.take().and_then(|mut child| child.wait().ok());
         ended.is_some_and(|status| status.success())
@@ -141,12 +142,12 @@
         exchange(address, head.as_bytes())
     }
 
-    /// Sends raw bytes to the clients' address.
+    /// Sends raw bytes to the daemon's client address.
     pub fn send_raw(&self, bytes: &[u8]) -> Answer {
         exchange(SocketAddr::new(self.ip.into(), CLIENT_PORT), bytes)
     }
 
-    /// Whether the daemon says that it is ready.
+    /// Whether the daemon reports that it is ready.
     pub fn is_ready(&self) -> bool {
         let address = SocketAddr::new(self.ip.into(), READINESS_PORT);
         let request = b"GET /-/readiness HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n";
@@ -159,7 +160,7 @@
         self.kill();
         std::fs::remove_file(&self.settings).ok();
         match std::thread::panicking() {
-            true => eprintln!("its log stays: {}", self.log().display()),
+            true => eprintln!("the daemon's log is kept: {}", self.log().display()),
             false => drop(std::fs::remove_file(self.log())),
         }
     }
@@ -172,7 +173,7 @@
 }
 
 impl KeptClient {
-    /// A client of the daemon at `ip`; connects with its first request.
+    /// Creates a client of a daemon; it connects with its first request.
     pub fn of(daemon: &Daemon) -> Self {
         Self {
             ip: daemon.ip,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Makes a request; a connection that breaks is opened anew by the next.
+    /// Makes a request. After a connection breaks, the next request opens a new one.
     pub fn request(&mut self, method: &str, path: &str, body: &str) -> Answer {
         let answer = self.exchange(method, path, body);
         answer.unwrap_or_else(|_| {
@@ -194,33 +195,33 @@
             Some(stream) => stream,
             None => {
                 let address = SocketAddr::new(self.ip.into(), CLIENT_PORT);
-                TcpStream::connect_timeout(&address, CONNECT)?
+                TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?
             }
         };
-        stream.set_read_timeout(Some(ANSWER))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: h\r\nauthorization: Token key\r\n\
              content-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
             body.len()
         );
         stream.write_all(head.as_bytes())?;
-        let (mut read, mut chunk) = (Vec::new(), [0; 4_096]);
+        let (mut received, mut chunk) = (Vec::new(), [0; 4_096]);
         loop {
-            if let Some((status, body)) = whole_answer(&read) {
+            if let Some((status, body)) = complete_answer(&received) {
                 self.stream = Some(stream);
                 return Ok(Answer::Status(status, body));
             }
             match stream.read(&mut chunk)? {
                 0 => return Ok(Answer::None),
-                length => read.extend_from_slice(&chunk[..length]),
+                length => received.extend_from_slice(&chunk[..length]),
             }
         }
     }
 }
 
-/// The status and body of an answer that is whole.
-fn whole_answer(read: &[u8]) -> Option<(u16, String)> {
-    let text = std::str::from_utf8(read).ok()?;
+/// The status and body of an answer; `None` if it is not complete.
+fn complete_answer(received: &[u8]) -> Option<(u16, String)> {
+    let text = std::str::from_utf8(received).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let length = head.lines().find_map(|line| {
@@ -231,13 +232,13 @@
     (body.len() >= length.unwrap_or(0)).then(|| (status, body.to_owned()))
 }
 
-const CONNECT: Duration = Duration::from_millis(500);
-const ANSWER: Duration = Duration::from_millis(4_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 fn exchange(address: SocketAddr, request: &[u8]) -> Answer {
     let exchanged = || -> std::io::Result<String> {
-        let mut stream = TcpStream::connect_timeout(&address, CONNECT)?;
-        stream.set_read_timeout(Some(ANSWER))?;
+        let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(request)?;
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer)?;
