--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -237,7 +237,7 @@
         self.store_calls.record_outcome(answered);
     }
 
-    /// Makes a call to the store for a client's request and records its outcome.
+    /// Makes a call to the store and records its outcome.
     pub async fn call_store<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
