--- a/src/cluster/actions.rs
+++ b/src/cluster/actions.rs
@@ -1,4 +1,8 @@
 //! Carries out the scheduler's actions.
+//!
+//! Each call to a worker or to the platform's machine interface runs as a task of
+//! its own and sends its result to the scheduler as an input. What has to be stored
+//! is added to the pending writes.
 
 use super::control::Output;
 use super::log_lines;
@@ -19,16 +23,17 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Carries out decisions until the control thread ends.
+/// Executes the control thread's outputs until that thread ends. Outputs of an
+/// epoch under which this daemon no longer owns are dropped.
 pub async fn run(node: Rc<Node>, mut outputs: UnboundedReceiver<Output>) {
     while let Some(output) = outputs.recv().await {
         if output.epoch == node.epoch() {
-            carry_out(&node, output);
+            execute(&node, output);
         }
     }
 }
 
-fn carry_out(node: &Rc<Node>, output: Output) {
+fn execute(node: &Rc<Node>, output: Output) {
     let epoch = output.epoch;
     let mut deleted_jobs: Vec<JobId> = Vec::new();
     let mut waves = Vec::new();
@@ -174,7 +179,7 @@
             order.ticket.as_deref(),
         )
         .await;
-    note_order(&node, "start", sent_ms, outcome);
+    record_order(&node, "start", sent_ms, outcome);
     let input = Input::StartResult {
         worker: callee.worker,
         name: order.name,
@@ -188,7 +193,7 @@
     let workers = &node.workers;
     let outcome = workers.stop(&callee.address, &callee.worker_name, epoch, name);
     let outcome = outcome.await;
-    note_order(&node, "stop", sent_ms, outcome);
+    record_order(&node, "stop", sent_ms, outcome);
     let input = Input::StopResult {
         worker: callee.worker,
         name,
@@ -202,7 +207,7 @@
     let workers = &node.workers;
     let outcome = workers.throttle(&callee.address, &callee.worker_name, epoch, name, percent);
     let outcome = outcome.await;
-    note_order(&node, "pace", sent_ms, outcome);
+    record_order(&node, "pace", sent_ms, outcome);
     let input = Input::ThrottleResult {
         worker: callee.worker,
         name,
@@ -211,8 +216,8 @@
     node.control.send_input(epoch, input);
 }
 
-/// Reads the list of machines. An installation that shows none has no waves,
-/// so this is asked only where the settings lack the address.
+/// Reads the list of machines. A platform without an interface for machines has no
+/// waves, so the client is missing here only if the settings lack its address.
 async fn list_machines(node: Rc<Node>, epoch: u64) {
     let sent_ms = node.now_ms();
     let machines = match &node.machines {
@@ -239,7 +244,7 @@
     node.control.send_input(epoch, input);
 }
 
-fn note_order(node: &Node, order: &'static str, sent_ms: u64, outcome: CallOutcome) {
+fn record_order(node: &Node, order: &'static str, sent_ms: u64, outcome: CallOutcome) {
     let outcome = match outcome {
         CallOutcome::Done => "done",
         CallOutcome::Refused(refusal) => refusal.name(),
--- a/src/cluster/client_requests.rs
+++ b/src/cluster/client_requests.rs
@@ -1,4 +1,5 @@
-//! Serves clients' requests.
+//! Serves clients' HTTP requests: submits, cancels and queries jobs, and counts the
+//! pending jobs of a queue.
 
 use super::log_lines::{
     self,
@@ -45,48 +46,48 @@
 use futures_util::StreamExt;
 use std::rc::Rc;
 
-/// How long a client waits that does not say.
+/// How long a client waits if its request names no deadline.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
-/// Kept of a client's time for the answer's way back.
-const ANSWER_WAY_MS: u64 = 300;
-/// When a client may come back after a refusal: the store is mostly back, or
-/// a takeover over, within it.
+/// Part of a client's deadline that is reserved for sending the answer back.
+const ANSWER_RESERVE_MS: u64 = 300;
+/// When a client may retry after a refusal: by then the store has usually recovered,
+/// or a takeover is complete.
 const RETRY_AFTER_S: u64 = 1;
-/// Requests answered at a time; more are refused at once.
+/// Requests served concurrently; further ones are refused immediately.
 const MAX_REQUESTS: usize = 512;
 
-/// Why a request is refused; each has a counter.
+/// Why a request is refused; every refusal is counted under its name.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refusal {
     /// No configuration is known yet.
     #[error("this daemon has no configuration yet; try again in a second")]
     NoConfiguration,
-    /// No queue has that path.
+    /// No queue has the request's host and path.
     #[error("no queue has this host and path; check them against the configuration")]
     NoSuchQueue,
-    /// The key is missing or not known.
-    #[error("the key is not known; show a key of the configuration")]
+    /// The key is missing or unknown.
+    #[error("the key is missing or unknown; send a key of the configuration")]
     UnknownKey,
-    /// The request does not read.
-    #[error("the request does not read; see the interface's description")]
+    /// The request cannot be decoded.
+    #[error("the request cannot be decoded; see the interface's description")]
     Malformed,
     /// The body is too large.
     #[error("the body is too large; send less")]
     TooLarge,
-    /// The method is not taken.
-    #[error("the method is not taken here; use GET, POST or DELETE")]
+    /// The method is not supported.
+    #[error("the method is not supported here; use GET, POST or DELETE")]
     NoSuchMethod,
-    /// The store refuses; the job was not accepted and never runs.
-    #[error("the store refuses; not accepted and not run, come back after the time told")]
+    /// The store refuses writes; the job was not accepted and never runs.
+    #[error("the store refuses writes; nothing was accepted or run, retry after the time given")]
     StoreRefuses,
-    /// Too many requests are being answered.
-    #[error("too many requests; not accepted and not run, come back after the time told")]
+    /// Too many requests are being served.
+    #[error("too many requests; nothing was accepted or run, retry after the time given")]
     Overloaded,
     /// It is not known whether the job was accepted.
-    #[error("the store did not answer; ask again with the same name")]
+    #[error("the store did not answer; retry with the same job name")]
     OutcomeUnknown,
-    /// Nobody can say now.
-    #[error("the owner and the store do not answer; ask again")]
+    /// Neither the owner nor the store answers a query.
+    #[error("the owner and the store do not answer; retry")]
     NobodyAnswers,
     /// There is no such job.
     #[error("there is no such job")]
@@ -120,7 +121,7 @@
             Self::NoSuchMethod => StatusCode::METHOD_NOT_ALLOWED,
             Self::NoConfiguration | Self::StoreRefuses => StatusCode::SERVICE_UNAVAILABLE,
             Self::Overloaded => StatusCode::TOO_MANY_REQUESTS,
-            // Neither accepted nor refused: a gateway's time-out says so.
+            // A gateway timeout: the job is neither known to be accepted nor refused.
             Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
             Self::NobodyAnswers => StatusCode::GATEWAY_TIMEOUT,
             Self::NoSuchJob => StatusCode::GONE,
@@ -128,18 +129,19 @@
     }
 }
 
-/// What a request asks, once it is read.
-struct Asked {
+/// A client's request whose queue, account and deadline are known.
+struct ParsedRequest {
     queue: Queue,
-    /// What a job that is accepted is held to.
+    /// The queue's terms, which a job accepted now keeps.
     terms: VersionedTerms,
     account: Option<AccountDeclaration>,
-    /// The path behind the queue's prefix.
+    /// The job's name: the path after the queue's prefix.
     name: String,
+    /// When the answer has to be sent, since the Unix epoch.
     until_ms: u64,
 }
 
-/// Answers the balancer's question whether to send new connections.
+/// Answers the load balancer's check whether to send new connections here.
 pub fn readiness(node: &Node, path: &str) -> Response<BoxBody> {
     let status = match (path == READINESS_PATH, node.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
@@ -172,13 +174,13 @@
     });
     let mut response = Response::build(status);
     response.insert_header((CONTENT_TYPE, HeaderValue::from_static("application/json")));
-    let comes_back = matches!(
+    let may_retry = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::TOO_MANY_REQUESTS
             | StatusCode::GATEWAY_TIMEOUT
     );
-    if comes_back {
+    if may_retry {
         response.insert_header((RETRY_AFTER, HeaderValue::from(RETRY_AFTER_S)));
     }
     if node.is_draining() {
@@ -195,31 +197,32 @@
     let configuration = node.configuration();
     let body = read_body(request, configuration.limits.max_body_bytes).await;
     if configuration.version == 0 {
-        // Its bounds are not known either: a body that is too large now may not be.
+        // Nor is the limit of a body known: one that is too large for the default may
+        // be allowed.
         return Err(Refusal::NoConfiguration);
     }
     let body = body?;
     if node.requests.get() > MAX_REQUESTS {
         return Err(Refusal::Overloaded);
     }
-    let asked = read_request(node, request, received_ms)?;
+    let parsed = parse_request(node, request, received_ms)?;
     match *request.method() {
-        Method::POST | Method::PUT => submit(node, &asked, &body, received_ms).await,
-        Method::GET if asked.name.is_empty() => {
-            let pending = submit::pending(node, &asked.queue.name, asked.until_ms).await;
+        Method::POST | Method::PUT => submit(node, &parsed, &body, received_ms).await,
+        Method::GET if parsed.name.is_empty() => {
+            let pending = submit::pending(node, &parsed.queue.name, parsed.until_ms).await;
             let pending = pending.ok_or(Refusal::NobodyAnswers)?;
             Ok((StatusCode::OK, encode_pending(pending)))
         }
         Method::GET => {
-            let job = job_id(&asked.name).ok_or(Refusal::NoSuchJob)?;
-            let view = submit::job_status(node, job, asked.until_ms).await;
-            let view = view.ok_or(Refusal::NobodyAnswers)?;
-            let view = view.ok_or(Refusal::NoSuchJob)?;
-            Ok((StatusCode::OK, encode_state(view)))
+            let job = job_id(&parsed.name).ok_or(Refusal::NoSuchJob)?;
+            let job_status = submit::job_status(node, job, parsed.until_ms).await;
+            let job_status = job_status.ok_or(Refusal::NobodyAnswers)?;
+            let job_status = job_status.ok_or(Refusal::NoSuchJob)?;
+            Ok((StatusCode::OK, encode_state(job_status)))
         }
         Method::DELETE => {
-            let job = job_id(&asked.name).ok_or(Refusal::NoSuchJob)?;
-            match submit::cancel(node, job, asked.until_ms).await {
+            let job = job_id(&parsed.name).ok_or(Refusal::NoSuchJob)?;
+            match submit::cancel(node, job, parsed.until_ms).await {
                 StorageOutcome::Done => Ok((StatusCode::OK, b"{}".to_vec())),
                 StorageOutcome::NoSuchJob => Err(Refusal::NoSuchJob),
                 StorageOutcome::Refused => Err(Refusal::StoreRefuses),
@@ -243,7 +246,11 @@
     Ok(body.freeze())
 }
 
-fn read_request(node: &Node, request: &Request, received_ms: u64) -> Result<Asked, Refusal> {
+fn parse_request(
+    node: &Node,
+    request: &Request,
+    received_ms: u64,
+) -> Result<ParsedRequest, Refusal> {
     let configuration = node.configuration();
     let headers = request.headers();
     let host = headers.get("host").and_then(|host| host.to_str().ok());
@@ -258,30 +265,30 @@
         return Err(Refusal::UnknownKey);
     }
     let deadline_ms = deadline_header(headers).unwrap_or(DEFAULT_DEADLINE_MS);
-    Ok(Asked {
+    Ok(ParsedRequest {
         name: request.path()[queue.path_prefix.len()..].to_owned(),
         terms: queue.terms_in(configuration.version),
         queue,
         account,
-        until_ms: received_ms + deadline_ms.saturating_sub(ANSWER_WAY_MS),
+        until_ms: received_ms + deadline_ms.saturating_sub(ANSWER_RESERVE_MS),
     })
 }
 
-async fn submit(node: &Rc<Node>, asked: &Asked, body: &Bytes, received_ms: u64) -> Answer {
-    let job = job_id(&asked.name).ok_or(Refusal::Malformed)?;
+async fn submit(node: &Rc<Node>, parsed: &ParsedRequest, body: &Bytes, received_ms: u64) -> Answer {
+    let job = job_id(&parsed.name).ok_or(Refusal::Malformed)?;
     let spec = decode_job(body).map_err(|_| Refusal::Malformed)?;
     if spec.problem().is_some() {
         return Err(Refusal::Malformed);
     }
-    let account = asked.account.as_ref();
+    let account = parsed.account.as_ref();
     let record = JobRecord {
-        queue: asked.queue.name.clone(),
+        queue: parsed.queue.name.clone(),
         account: account.map_or_else(String::new, |account| account.name.clone()),
         received_ms,
-        accepted_under: Some(asked.terms.clone()),
+        accepted_under: Some(parsed.terms.clone()),
         spec,
     };
-    match submit::accept(node, job, record, asked.until_ms).await {
+    match submit::accept(node, job, record, parsed.until_ms).await {
         StorageOutcome::Done => Ok((StatusCode::OK, b"{}".to_vec())),
         StorageOutcome::Refused => Err(Refusal::StoreRefuses),
         StorageOutcome::Unknown | StorageOutcome::NoSuchJob => Err(Refusal::OutcomeUnknown),
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -1,4 +1,7 @@
-//! Committing what the ledger holds, and telling the scheduler what is stored.
+//! Commits the owner's pending writes and reports to the scheduler what is stored.
+//!
+//! A commit that conflicts is retried with the store's current revisions, unless the
+//! root has changed: then another daemon owns, and this one stops owning.
 
 use super::node::Node;
 use super::pending_writes::Batch;
@@ -9,18 +12,19 @@
 use crate::scheduler::Input;
 use std::rc::Rc;
 
-/// Time for changes to gather: 40 commits a second at most, a tenth of what
-/// the store takes; ends wait this long beside run times of seconds.
-const GATHER_MS: u64 = 20;
-/// Wait after a refused or unanswered commit.
+/// How long changes are collected before a commit. An owner commits at most 40 times
+/// a second, a tenth of what the store handles. Ends of runs are stored this much
+/// later, which is little beside run times of seconds.
+const COLLECT_MS: u64 = 20;
+/// Delay before a refused or unanswered commit is retried.
 const RETRY_MS: u64 = 120;
 
-/// Commits what waits, for as long as this daemon owns under `epoch`.
+/// Commits pending writes for as long as this daemon owns under `epoch`.
 pub async fn run(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
         let Some(batch) = node.pending_writes.batch(node.root_revision()) else {
             node.pending_writes.changed().await;
-            node.timer.sleep(GATHER_MS).await;
+            node.timer.sleep(COLLECT_MS).await;
             continue;
         };
         let sent_ms = node.now_ms();
@@ -33,16 +37,16 @@
         metrics::histogram!("fuchsiaslip_commit_ms").record(took_ms);
         match outcome {
             Ok(CommitResult::Done { revision }) => {
-                node.pending_writes.committed(&batch, revision);
+                node.pending_writes.handle_commit(&batch, revision);
                 node.control
                     .send_input(epoch, Input::EpochConfirmed(sent_ms));
-                tell_stored(&node, epoch, batch);
-                node.timer.sleep(GATHER_MS).await;
+                report_stored(&node, epoch, batch);
+                node.timer.sleep(COLLECT_MS).await;
             }
             Ok(CommitResult::Conflict(items)) => {
                 if !node
                     .pending_writes
-                    .conflicted(&batch, &items, node.root_revision())
+                    .handle_conflict(&batch, &items, node.root_revision())
                 {
                     node.stop_owning("commit_conflict");
                     return;
@@ -61,8 +65,8 @@
     }
 }
 
-/// Tells the scheduler what it may rely on from now on.
-fn tell_stored(node: &Node, epoch: u64, batch: Batch) {
+/// Reports to the scheduler which of its changes are durable.
+fn report_stored(node: &Node, epoch: u64, batch: Batch) {
     for (job, change) in batch.progress {
         node.control
             .send_input(epoch, Input::ProgressStored { job, change });
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -1,4 +1,4 @@
-//! What is stored of a fleet, read by people: it needs no daemon that answers.
+//! Reads a fleet's state straight from the store, for people; no daemon has to answer.
 
 use super::invalid_values::{
     InvalidReason, //
@@ -63,45 +63,46 @@
     pub owner: String,
     /// Its epoch.
     pub epoch: u64,
-    /// Where the owner is called.
+    /// Address at which other daemons reach the owner.
     pub owner_address: String,
     /// Daemons that hold a lease, with their addresses.
     pub daemons: BTreeMap<String, String>,
-    /// Workers that owners use or used.
+    /// Number of workers on the roster: those that an owner uses or has used.
     pub workers: usize,
-    /// Closed workers with the runs that may be there.
+    /// Workers that are closed to new starts, with the tasks and numbers of the runs
+    /// that may be there.
     pub closed_workers: BTreeMap<String, Vec<(String, u64)>>,
-    /// Data centres that get no new tasks, on the operators' order.
+    /// Data centres that get no new tasks by the operators' order.
     pub emptied_data_centres: BTreeMap<String, EmptiedDataCentre>,
-    /// Jobs that are open.
+    /// Number of open jobs.
     pub open_jobs: usize,
-    /// Jobs that are completed and remembered.
+    /// Number of completed jobs that are still stored.
     pub completed_jobs: usize,
-    /// Jobs that failed and are remembered.
+    /// Number of failed jobs that are still stored.
     pub failed_jobs: usize,
-    /// Jobs that were cancelled and are remembered.
+    /// Number of cancelled jobs that are still stored.
     pub cancelled_jobs: usize,
-    /// Entries and records that cannot be used, in the order of their keys.
+    /// Invalid values, ordered by key.
     pub unused: Vec<UnusedValue>,
 }
 
-/// A stored value that cannot be used.
+/// An invalid value in the store.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct UnusedValue {
     /// Its key.
     pub key: String,
-    /// The revision of its last change.
+    /// Revision of its last change.
     pub revision: u64,
-    /// Why, as counters name it.
+    /// Why it is invalid, as counters name it.
     pub reason: &'static str,
-    /// The same in full.
+    /// The reason in full; empty if the name says it all.
     pub problem: String,
-    /// What daemons do about it.
+    /// How daemons handle the value.
     pub done: &'static str,
 }
 
 impl FleetReport {
-    /// The decoded value; `None` for one that is invalid, which is reported.
+    /// Returns the decoded value, or adds an invalid one to the report.
     fn valid_value<T>(
         &mut self,
         kind: StoredKind,
@@ -131,26 +132,26 @@
 /// An operators' order that a data centre gets no new tasks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct EmptiedDataCentre {
-    /// The store's revision of the order.
+    /// Revision of the order in the store.
     pub revision: u64,
-    /// For how long an owner knows of it; `None` if none does yet.
+    /// For how long owners have known of the order; `None` if none knows of it yet.
     pub known_ms: Option<u64>,
 }
 
 /// A job as the store shows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredJob {
-    /// What its caller asked for, or why that does not read.
+    /// The job as its caller submitted it, or why the record is invalid.
     pub record: Result<JobRecord, InvalidReason>,
-    /// Its cancellation is stored.
+    /// Whether its cancellation is stored.
     pub cancelled: bool,
-    /// What the owner noted of it, or why that does not read.
+    /// Its progress as an owner stored it, or why that record is invalid.
     pub progress: Option<Result<ProgressRecord, InvalidReason>>,
-    /// Data centres that get no new tasks: it waits where it needs room there.
+    /// Data centres that get no new tasks; the job waits if it needs capacity there.
     pub emptied_data_centres: Vec<String>,
 }
 
-/// Reads what is stored of the fleet whose store is at `address`.
+/// Reads the state of the fleet whose store is at `address`.
 ///
 /// # Errors
 ///
@@ -185,15 +186,15 @@
             report.closed_workers.insert(name, record.runs);
         }
     }
-    emptied(&store, timer.now_ms(), &mut report).await?;
+    read_emptied(&store, timer.now_ms(), &mut report).await?;
     count_jobs(&store, &mut report).await?;
-    read_others(&store, &mut report).await?;
+    check_other_values(&store, &mut report).await?;
     report.unused.sort_by(|a, b| a.key.cmp(&b.key));
     Ok(report)
 }
 
-/// The orders in force, each with its age.
-async fn emptied(
+/// Adds the operators' orders in force to the report, each with its age.
+async fn read_emptied(
     store: &StoreClient,
     now_ms: u64,
     report: &mut FleetReport,
@@ -214,7 +215,7 @@
             );
             continue;
         };
-        // A record of an earlier order says nothing of this one.
+        // A record of an earlier order does not apply to this one.
         let record = known
             .get(name)
             .filter(|record| record.revision == item.revision);
@@ -231,8 +232,11 @@
     key.strip_prefix(prefix).unwrap_or(key).to_owned()
 }
 
-/// Looks for values of the operator and of workers that cannot be used.
-async fn read_others(store: &StoreClient, report: &mut FleetReport) -> Result<(), StoreError> {
+/// Adds invalid values that workers and operators wrote, and invalid states of waves.
+async fn check_other_values(
+    store: &StoreClient,
+    report: &mut FleetReport,
+) -> Result<(), StoreError> {
     for item in store.range(WORKERS_PREFIX, true).await?.items {
         let name = name_of(&item.key, WORKERS_PREFIX);
         let read = decode_worker(&name, &item.value);
@@ -279,7 +283,7 @@
                 Some(FinalState::Failed) => report.failed_jobs += 1,
                 None => report.open_jobs += 1,
             },
-            // A cancelled job that ended before stays ended.
+            // A job that ended before it was cancelled counts as ended.
             Some(JobKeyKind::Cancelled(job)) if states.get(&job).copied().flatten().is_none() => {
                 report.cancelled_jobs += 1;
                 report.open_jobs = report.open_jobs.saturating_sub(1);
@@ -291,7 +295,7 @@
     Ok(())
 }
 
-/// Reads what is stored of one job; `None` if there is none.
+/// Reads what is stored of one job; `None` if there is no such job.
 ///
 /// # Errors
 ///
@@ -303,7 +307,7 @@
 ) -> Result<Option<StoredJob>, StoreError> {
     let store = StoreClient::open(HttpClient::open(timer.clone()), address);
     let mut report = FleetReport::default();
-    emptied(&store, timer.now_ms(), &mut report).await?;
+    read_emptied(&store, timer.now_ms(), &mut report).await?;
     let key = progress_key(job);
     let progress = store.get(&key).await?;
     let progress = progress.map(|item| decode_progress(&item.value));
--- a/src/cluster/invalid_values.rs
+++ b/src/cluster/invalid_values.rs
@@ -1,9 +1,8 @@
-//! Invalid values in the store: the kinds of values, and reporting each invalid one
-//! to on-call once.
+//! The kinds of stored values, and the reporting of invalid ones to on-call.
 //!
-//! Load pattern: another writer writes hundreds of such values, again and again,
-//! and every list reads all of them. So each revision of a key is told once, a few
-//! lines a second at most, and counted in any case.
+//! Load pattern: another writer writes hundreds of invalid values, again and again,
+//! and every list reads all of them. So each revision of a key is counted and logged
+//! once, and the log gets a few lines a second at most.
 
 use super::log_lines::{
     self,
@@ -21,42 +20,42 @@
     Hasher, //
 };
 
-/// Revisions that are remembered as told: a tenth of a large fleet's entries.
-/// What was forgotten and is read again is told again, within the bound below.
-const MAX_TOLD: usize = 1_024;
-/// Lines at once: enough for on-call to see who writes.
+/// Reported revisions that are remembered: a tenth of a large fleet's entries. One that
+/// was dropped and is read again is reported again, within the rate below.
+const MAX_REMEMBERED: usize = 1_024;
+/// Largest burst of lines: enough for on-call to see who writes the values.
 const BURST_LINES: f64 = 40.0;
-/// Lines a second over time, a hundredth of what a daemon logs.
+/// Sustained rate of lines a second, a hundredth of what a daemon may log.
 const LINES_PER_S: f64 = 1.5;
-/// Longest description of a problem: it may quote the value.
+/// Longest description of a problem, which may quote the value.
 const MAX_PROBLEM_CHARS: usize = 200;
 
-/// What a key of the store holds.
+/// The kind of value that a key of the store holds.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum StoredKind {
-    /// A worker's entry.
+    /// A worker's entry, its registration.
     Worker,
     /// The operator's configuration.
     Configuration,
     /// A wave of upkeep.
     Wave,
-    /// How far a wave is.
+    /// Whether a wave is completed.
     WaveState,
     /// An operators' order to empty a data centre.
     Emptying,
-    /// Since when an owner knows of such an order.
+    /// Since when owners have known of such an order.
     Emptied,
-    /// The owner's epoch.
+    /// The root, which names the owner and its epoch.
     Root,
-    /// Workers that owners use or used.
+    /// The roster: workers that an owner uses or has used.
     Roster,
     /// An accepted job.
     Job,
-    /// What is done of a job.
+    /// The progress of a job.
     Progress,
-    /// A worker that gets no more starts.
+    /// A worker that is closed to new starts.
     Closed,
-    /// A daemon.
+    /// A daemon's registration.
     Member,
 }
 
@@ -95,25 +94,25 @@
         }
     }
 
-    /// What becomes of one that does not read.
+    /// How daemons handle an invalid value of this kind.
     pub fn done(self) -> &'static str {
         match self {
-            Self::Worker => "no new work goes to the worker, what runs there goes on",
-            Self::Configuration => "the version before stays in force",
-            Self::Wave => "no machine goes down for it",
+            Self::Worker => "the worker gets no new work, its runs go on",
+            Self::Configuration => "the previous version stays in force",
+            Self::Wave => "no machine is taken down for the wave",
             Self::WaveState => {
-                "the wave is taken for open; orders that were carried out change nothing"
+                "the wave counts as open; repeated orders for its machines change nothing"
             }
             Self::Emptying => "its key names no data centre, so none is emptied",
-            Self::Emptied => "the order holds, its age is shown from the next owner on",
+            Self::Emptied => "the order stays in force, its age is shown from the next owner on",
             Self::Root => "no daemon takes over",
-            Self::Roster => "stored work waits for the longest lease, then it is written anew",
-            Self::Job => "nothing of the job starts, what runs of it goes on, it is read again",
-            Self::Progress => {
-                "nothing of the job starts, what runs of it goes on, it is read again"
+            Self::Roster => {
+                "stored work waits until the longest lease has expired, then the roster is rewritten"
             }
-            Self::Closed => "its worker is taken for one that may run anything",
-            Self::Member => "the daemon is known only if it is heard",
+            Self::Job => "no task of the job starts, its runs go on, the value is read again",
+            Self::Progress => "no task of the job starts, its runs go on, the value is read again",
+            Self::Closed => "the worker counts as one that may run anything",
+            Self::Member => "the daemon is known only by its heartbeats",
         }
     }
 }
@@ -123,12 +122,12 @@
 pub struct InvalidReason {
     /// The reason as logs and counters name it.
     pub reason: &'static str,
-    /// The same in full.
+    /// The reason in full; empty if the name says it all.
     pub problem: String,
 }
 
 impl InvalidReason {
-    /// A reason that says it all.
+    /// A reason whose name says it all.
     pub fn because(reason: &'static str) -> Self {
         Self {
             reason,
@@ -166,15 +165,17 @@
 /// Reports invalid values, each revision once, at a limited rate.
 #[derive(Debug, Default)]
 pub struct InvalidValueReporter {
-    told: HashSet<u64>,
-    order: VecDeque<u64>,
-    lines: f64,
+    /// Hashes of the reported keys and revisions.
+    reported: HashSet<u64>,
+    /// The same hashes, oldest first.
+    oldest_first: VecDeque<u64>,
+    lines_left: f64,
     refilled_ms: u64,
 }
 
 impl InvalidValueReporter {
-    /// Counts an invalid value and logs it, unless that was done for this revision;
-    /// returns whether a line was written.
+    /// Counts an invalid value and logs it within the rate, unless this revision was
+    /// already counted. Returns whether a line was written.
     pub fn note(
         &mut self,
         kind: StoredKind,
@@ -205,15 +206,15 @@
     fn is_new(&mut self, key: &str, revision: u64) -> bool {
         let mut hasher = DefaultHasher::new();
         (key, revision).hash(&mut hasher);
-        let name = hasher.finish();
-        if !self.told.insert(name) {
+        let hash = hasher.finish();
+        if !self.reported.insert(hash) {
             return false;
         }
-        self.order.push_back(name);
-        if self.order.len() > MAX_TOLD
-            && let Some(oldest) = self.order.pop_front()
+        self.oldest_first.push_back(hash);
+        if self.oldest_first.len() > MAX_REMEMBERED
+            && let Some(oldest) = self.oldest_first.pop_front()
         {
-            self.told.remove(&oldest);
+            self.reported.remove(&oldest);
         }
         true
     }
@@ -221,15 +222,15 @@
     fn take_line(&mut self, now_ms: u64) -> bool {
         const MS_PER_S: f64 = 1_000.0;
         if self.refilled_ms == 0 {
-            self.lines = BURST_LINES;
+            self.lines_left = BURST_LINES;
         }
         let elapsed_ms = now_ms.saturating_sub(self.refilled_ms) as f64;
         self.refilled_ms = now_ms;
-        self.lines = (self.lines + elapsed_ms / MS_PER_S * LINES_PER_S).min(BURST_LINES);
-        if self.lines < 1.0 {
+        self.lines_left = (self.lines_left + elapsed_ms / MS_PER_S * LINES_PER_S).min(BURST_LINES);
+        if self.lines_left < 1.0 {
             return false;
         }
-        self.lines -= 1.0;
+        self.lines_left -= 1.0;
         true
     }
 }
--- a/src/cluster/log_lines.rs
+++ b/src/cluster/log_lines.rs
@@ -1,4 +1,7 @@
-//! Log lines as JSON objects, one a decision, bounded and never blocking.
+//! Writes log lines as JSON objects, one for each decision.
+//!
+//! Logging never blocks the caller: the rate of lines is limited, and lines that a
+//! slow reader does not take are dropped and counted.
 
 use crate::core::JobId;
 use crate::scheduler::{
@@ -24,15 +27,15 @@
 };
 use std::time::Instant;
 
-/// Lines that wait for a slow reader; more are dropped and counted.
-const MAX_WAITING_LINES: usize = 2_048;
-/// Lines a second over time. A line costs some 20 us of a processor that has a
-/// quarter of a core, so this is about 1% of it.
+/// Lines queued for a slow reader; further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// Sustained rate of lines a second. A line takes some 20 us of CPU time on a daemon that
+/// has a quarter of a core, so this rate takes about 1% of that.
 const LINES_PER_S: f64 = 150.0;
-/// Lines at once.
+/// Largest burst of lines.
 const BURST_LINES: f64 = 600.0;
 
-/// Writes lines through a thread of its own, within a budget.
+/// A log appender that writes lines on a thread of its own, at a limited rate.
 #[derive(Debug)]
 pub struct BoundedLines {
     lines: SyncSender<Vec<u8>>,
@@ -43,15 +46,15 @@
 #[derive(Debug)]
 struct Budget {
     left: f64,
-    at: Instant,
+    refilled: Instant,
 }
 
 impl Budget {
-    /// Takes a line from the budget.
-    fn take(&mut self, now: Instant) -> bool {
-        let elapsed_s = now.duration_since(self.at).as_secs_f64();
+    /// Takes one line from the budget; returns whether one was left.
+    fn take_line(&mut self, now: Instant) -> bool {
+        let elapsed_s = now.duration_since(self.refilled).as_secs_f64();
         self.left = (self.left + elapsed_s * LINES_PER_S).min(BURST_LINES);
-        self.at = now;
+        self.refilled = now;
         if self.left < 1.0 {
             return false;
         }
@@ -67,13 +70,13 @@
     ///
     /// The thread cannot be started.
     pub fn spawn() -> std::io::Result<Self> {
-        let (lines, received) = sync_channel::<Vec<u8>>(MAX_WAITING_LINES);
+        let (lines, received) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || {
                 let mut output = std::io::stdout();
                 for line in received {
-                    // A reader that is gone wants no lines.
+                    // The reader has closed the output.
                     if output.write_all(&line).is_err() {
                         return;
                     }
@@ -83,13 +86,13 @@
             lines,
             budget: Mutex::new(Budget {
                 left: BURST_LINES,
-                at: Instant::now(),
+                refilled: Instant::now(),
             }),
             dropped: AtomicU64::new(0),
         })
     }
 
-    fn drop_line(&self) {
+    fn count_dropped(&self) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
         metrics::counter!("fuchsiaslip_log_lines_dropped_total").increment(1);
     }
@@ -98,12 +101,12 @@
 impl Append for BoundedLines {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
         let important = record.level() <= log::Level::Warn;
-        let within = match self.budget.lock() {
-            Ok(mut budget) => budget.take(Instant::now()),
+        let within_budget = match self.budget.lock() {
+            Ok(mut budget) => budget.take_line(Instant::now()),
             Err(_) => false,
         };
-        if !within && !important {
-            self.drop_line();
+        if !within_budget && !important {
+            self.count_dropped();
             return Ok(());
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
@@ -118,7 +121,7 @@
         }
         line.push('\n');
         if self.lines.try_send(line.into_bytes()).is_err() {
-            self.drop_line();
+            self.count_dropped();
         }
         Ok(())
     }
@@ -126,47 +129,47 @@
     fn flush(&self) {}
 }
 
-/// Workers that one line names; more are only counted.
-const NAMED_WORKERS: usize = 8;
+/// Largest number of workers that one line names; the line also has their number.
+const MAX_NAMED_WORKERS: usize = 8;
 
-/// What is logged of a client's request.
+/// The fields of a client's request that are logged.
 pub struct RequestLine<'a> {
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Its path, which ends with the job's name.
+    /// The path, which ends with the job's name.
     pub path: &'a str,
-    /// The answer.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// Why.
+    /// `done`, or why the request was refused.
     pub reason: &'static str,
-    /// How long it took.
+    /// Time until the answer was ready, in milliseconds.
     pub took_ms: u64,
-    /// Version of the configuration that decided.
+    /// Version of the configuration in force.
     pub configuration_version: u64,
-    /// Epoch of the owner that is known.
+    /// Epoch of the known owner; 0 if none is known.
     pub epoch: u64,
-    /// Whether the store answers.
+    /// Whether the store answers this daemon.
     pub has_store: bool,
 }
 
-/// What is logged of a value that is not used.
+/// The fields of an invalid stored value that are logged.
 pub struct InvalidValueLine<'a> {
     /// Its key.
     pub key: &'a str,
     /// Its revision.
     pub revision: u64,
-    /// What it should be.
+    /// The kind of value that its key stands for.
     pub kind: &'static str,
-    /// Why it is not used, as counters name it.
+    /// Why it is invalid, as counters name it.
     pub reason: &'static str,
-    /// The same in full.
+    /// The reason in full; empty if the name says it all.
     pub problem: &'a str,
-    /// What was done.
+    /// How the daemon handles the value.
     pub done: &'static str,
 }
 
-/// Logs and counts a request's answer. Questions for states that were answered
-/// are only counted: they are most of the requests and decide nothing.
+/// Logs and counts a request's answer. Queries that were answered are only counted:
+/// they are most of the requests and change nothing.
 pub fn request(line: &RequestLine<'_>) {
     let labels = [
         ("method", line.method.to_owned()),
@@ -189,7 +192,7 @@
     );
 }
 
-/// Logs a value of the store that is not used.
+/// Logs an invalid stored value.
 pub fn invalid_value(line: &InvalidValueLine<'_>) {
     emit(
         crate::events::RECORD_UNREADABLE,
@@ -316,7 +319,7 @@
             events::JOB_ENDED,
             "job_ended",
             *state,
-            job_ended(*job, failure.as_ref()),
+            job_ended_fields(*job, failure.as_ref()),
         ),
         Decision::RecoveryOver {
             waited_ms,
@@ -332,7 +335,7 @@
                     false => "leases_over",
                 },
                 json!({ "waited_ms": waited_ms, "groups": groups, "unheard": unheard.len(),
-                    "workers": unheard.iter().take(NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
+                    "workers": unheard.iter().take(MAX_NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
             )
         }
         Decision::Quarantined {
@@ -489,8 +492,8 @@
     emit(event, fields);
 }
 
-/// The end of a job; one that failed with the run that made it fail.
-fn job_ended(job: JobId, failure: Option<&JobFailure>) -> Value {
+/// The fields of a job's end; for a failed job with the run that made it fail.
+fn job_ended_fields(job: JobId, failure: Option<&JobFailure>) -> Value {
     let Some(failure) = failure else {
         return json!({ "job": job.to_string() });
     };
@@ -500,9 +503,10 @@
         "terms_version": failure.terms_version, "crashes": failure.crashes })
 }
 
-/// A step in short: tasks, what each takes, its estimate, and how they are bound.
+/// Summary of a step: the number of its tasks, the resources and estimated run time of
+/// each, and the constraints on them.
 fn step_text(step: &StepSpec) -> String {
-    let bounds = [
+    let constraints = [
         (step.gang, "gang"),
         (step.same_rack, "one_rack"),
         (!step.data_rack.is_empty(), "data_rack"),
@@ -517,9 +521,9 @@
         "{} x {} milli-cores, {} MB, {} accelerators, {} ms",
         step.count, needs.cpu_millis, needs.memory_mb, needs.accelerators, step.estimated_ms
     );
-    for (_, bound) in bounds.iter().filter(|(is_bound, _)| *is_bound) {
+    for (_, constraint) in constraints.iter().filter(|(applies, _)| *applies) {
         text.push_str(", ");
-        text.push_str(bound);
+        text.push_str(constraint);
     }
     text
 }
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -1,11 +1,11 @@
-//! The writes that wait to be stored, and the transactions that
-//! carry them; [`super::commits`] sends them.
+//! Collects the owner's writes and batches them into transactions, which
+//! [`super::commits`] sends.
 //!
-//! Every value has one writer, the owner, and each write is conditional on the
-//! root's revision and on the value's own last revision. A transaction whose
-//! answer was lost and that is carried out seconds later therefore fails: either
-//! the root has moved to another owner, or the value to a newer revision. Many
-//! changes share one transaction, so calls grow with time, not with tasks.
+//! Only the owner writes these values. Each write is conditional on the root's
+//! revision and on the value's own last revision. A transaction whose answer was lost
+//! and that the store carries out seconds later therefore fails: either another owner
+//! has written the root, or the value has a newer revision. Many changes share a
+//! transaction, so the number of calls grows with time, not with the number of tasks.
 
 use super::records::{
     ClosedRecord,
@@ -43,37 +43,37 @@
 };
 use tokio::sync::Notify;
 
-/// Entries that one value takes in a transaction: an expectation, and a put or
-/// a removal.
+/// Transaction entries for one value: its expected revision, and its put or removal.
 const VALUE_ENTRIES: usize = 2;
 
-/// What an earlier owner stored of a data centre: key, revision, and the record if
-/// it reads.
+/// The stored record of an emptied data centre: its key, its revision, and the record,
+/// or `None` if that cannot be decoded.
 pub type FoundEmptied = (String, u64, Option<EmptiedRecord>);
 
-/// What a decision asks to have stored.
+/// Changes that the owner wants stored.
 #[derive(Default)]
 pub struct Changes {
-    /// Progress of jobs with the numbers of their changes.
+    /// Progress of jobs, each with the number of its change.
     pub progress: Vec<(JobId, u64, ProgressRecord)>,
-    /// The roster.
+    /// The roster, if it changed.
     pub roster: Option<Vec<RosterRow>>,
-    /// Workers by name, with whether they get no more starts; `None`
-    /// for workers that are gone.
+    /// Records of closed and reopened workers, by worker name; `None` removes the
+    /// record of a worker that is gone.
     pub closed: Vec<(String, Option<ClosedRecord>)>,
     /// Waves of upkeep, with whether they are completed.
     pub waves: Vec<(u64, bool)>,
-    /// Data centres that get no new tasks; `None` for those that get them again.
+    /// Records of emptied data centres, by name; `None` removes the record of one that
+    /// gets tasks again.
     pub emptied: Vec<(String, Option<EmptiedRecord>)>,
-    /// Jobs of which nothing is to be kept.
+    /// Jobs whose values are to be removed.
     pub deleted_jobs: Vec<JobId>,
 }
 
-/// Values that a job has in the store.
-const REMOVED_KEYS: usize = 3;
+/// Number of keys under which a job has values.
+const KEYS_PER_JOB: usize = 3;
 
-/// The keys of a job's values.
-fn keys_of(job: JobId) -> [String; REMOVED_KEYS] {
+/// The keys under which a job has values.
+fn keys_of(job: JobId) -> [String; KEYS_PER_JOB] {
     [job_key(job), progress_key(job), cancelled_key(job)]
 }
 
@@ -84,28 +84,29 @@
     closed: BTreeMap<String, Option<ClosedRecord>>,
     waves: BTreeMap<u64, bool>,
     emptied: BTreeMap<String, Option<EmptiedRecord>>,
-    /// What an earlier owner stored of data centres.
+    /// Valid records of earlier owners whose orders are still in force, by data centre.
     found_emptied: HashMap<String, EmptiedRecord>,
     deleted_jobs: Vec<JobId>,
+    /// Last known revisions of values, by key.
     revisions: HashMap<String, u64>,
 }
 
-/// What waits to be stored.
+/// The changes that are not stored yet.
 #[derive(Default)]
 pub struct PendingWrites {
     pending: RefCell<Pending>,
     added: Notify,
 }
 
-/// What one transaction carries.
+/// A transaction, with the changes that it stores.
 pub struct Batch {
     /// The transaction itself.
     pub transaction: Transaction,
-    /// Jobs whose progress it writes, with the numbers of their last changes.
+    /// Jobs whose progress it writes, with the numbers of the changes written.
     pub progress: Vec<(JobId, u64)>,
-    /// Incarnations on the roster that it writes.
+    /// Names of the workers on the roster that it writes.
     pub roster: Option<Vec<String>>,
-    /// Workers by name; `None` for records that it removes.
+    /// Records of closed workers, by worker name; `None` for those that it removes.
     pub closed: Vec<(String, Option<ClosedRecord>)>,
     waves: Vec<(u64, bool)>,
     emptied: Vec<(String, Option<EmptiedRecord>)>,
@@ -129,15 +130,15 @@
         }
     }
 
-    /// Writes a value, if it is still as last known.
+    /// Adds a write that requires the value's last known revision.
     fn put(&mut self, pending: &Pending, key: String, value: Bytes) {
         let revision = pending.revisions.get(&key).copied().unwrap_or(0);
         self.transaction.expected.push((key.clone(), revision));
         self.transaction.puts.push((key, value));
     }
 
-    /// How many more things that take so many entries each fit.
-    fn room(&self, entries: usize) -> usize {
+    /// How many more values fit into the transaction if each takes `entries` entries.
+    fn capacity(&self, entries: usize) -> usize {
         let transaction = &self.transaction;
         let taken = transaction.expected.len() + transaction.puts.len() + transaction.removed.len();
         MAX_TRANSACTION_ENTRIES.saturating_sub(taken) / entries
@@ -145,20 +146,20 @@
 }
 
 impl PendingWrites {
-    /// Forgets everything: another daemon owns.
+    /// Drops all changes and known revisions, for a change of owner.
     pub fn clear(&self) {
         *self.pending.borrow_mut() = Pending::default();
         self.added.notify_one();
     }
 
-    /// Notes at which revision a value was read.
+    /// Records the revision at which a value was read.
     pub fn note_revision(&self, key: &str, revision: u64) {
         let mut pending = self.pending.borrow_mut();
         pending.revisions.insert(key.to_owned(), revision);
     }
 
-    /// Notes what an earlier owner stored of data centres. What is not true any
-    /// more is removed; what still is stays as it was first stored.
+    /// Records what earlier owners stored of emptied data centres. A record whose order
+    /// is no longer in force is removed; the others stay as they were first stored.
     pub fn note_emptied(&self, found: Vec<FoundEmptied>, in_force: &[EmptyingOrder]) {
         let mut pending = self.pending.borrow_mut();
         for (key, revision, record) in found {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Adds what a decision asks to have stored.
+    /// Adds changes, which replace earlier changes of the same values.
     pub fn add(&self, changes: Changes) {
         let empty = changes.progress.is_empty()
             && changes.roster.is_none()
@@ -205,13 +206,14 @@
         self.added.notify_one();
     }
 
-    /// Waits until something is added, or everything is forgotten.
+    /// Waits until changes are added or all are dropped.
     pub async fn changed(&self) {
         self.added.notified().await;
     }
 
-    /// What the next transaction carries: first what a worker or a caller waits
-    /// for. A thousand workers that are closed at once do not hold progress up.
+    /// Returns the next batch, or `None` if no change is pending. The changes that a
+    /// worker or a client waits for come first, so closing a thousand workers at once
+    /// does not delay the progress of jobs.
     pub fn batch(&self, root_revision: u64) -> Option<Batch> {
         let pending = self.pending.borrow();
         let mut batch = Batch::begin(root_revision);
@@ -219,16 +221,17 @@
             batch.put(&pending, ROSTER_KEY.to_owned(), encode(roster));
             batch.roster = Some(roster.iter().map(|row| row.worker_name.clone()).collect());
         }
-        for (&job, (change, record)) in pending.progress.iter().take(batch.room(VALUE_ENTRIES)) {
+        for (&job, (change, record)) in pending.progress.iter().take(batch.capacity(VALUE_ENTRIES))
+        {
             batch.put(&pending, progress_key(job), encode(record));
             batch.progress.push((job, *change));
         }
-        for (&wave, &completed) in pending.waves.iter().take(batch.room(VALUE_ENTRIES)) {
+        for (&wave, &completed) in pending.waves.iter().take(batch.capacity(VALUE_ENTRIES)) {
             let value = encode_wave_state(completed);
             batch.put(&pending, wave_state_key(wave), value);
             batch.waves.push((wave, completed));
         }
-        for (worker_name, record) in pending.closed.iter().take(batch.room(VALUE_ENTRIES)) {
+        for (worker_name, record) in pending.closed.iter().take(batch.capacity(VALUE_ENTRIES)) {
             let key = closed_key(worker_name);
             match record {
                 Some(record) => batch.put(&pending, key, encode(record)),
@@ -236,7 +239,7 @@
             }
             batch.closed.push((worker_name.clone(), record.clone()));
         }
-        for (data_centre, record) in pending.emptied.iter().take(batch.room(VALUE_ENTRIES)) {
+        for (data_centre, record) in pending.emptied.iter().take(batch.capacity(VALUE_ENTRIES)) {
             let key = emptied_key(data_centre);
             match record {
                 Some(record) => batch.put(&pending, key, encode(record)),
@@ -244,8 +247,12 @@
             }
             batch.emptied.push((data_centre.clone(), record.clone()));
         }
-        // Nobody waits for what is forgotten: it takes the room that is left.
-        for &job in pending.deleted_jobs.iter().take(batch.room(REMOVED_KEYS)) {
+        // Nobody waits for the removal of jobs, so they get the entries that are left.
+        for &job in pending
+            .deleted_jobs
+            .iter()
+            .take(batch.capacity(KEYS_PER_JOB))
+        {
             batch.deleted_jobs.push(job);
             batch.transaction.removed.extend(keys_of(job));
         }
@@ -254,8 +261,8 @@
         (!empty).then_some(batch)
     }
 
-    /// What the batch carried is stored.
-    pub fn committed(&self, batch: &Batch, revision: u64) {
+    /// Drops the changes that the batch stored, unless they changed meanwhile.
+    pub fn handle_commit(&self, batch: &Batch, revision: u64) {
         let mut pending = self.pending.borrow_mut();
         for (key, _) in &batch.transaction.puts {
             pending.revisions.insert(key.clone(), revision);
@@ -267,8 +274,8 @@
             }
         }
         if let Some(stored) = &batch.roster {
-            // A roster that changed meanwhile is stored again, also if it has
-            // as many rows.
+            // A roster that changed meanwhile is stored again, even with the same
+            // number of rows.
             let newest = pending.roster.as_ref();
             let same =
                 newest.is_some_and(|rows| rows.iter().map(|row| &row.worker_name).eq(stored));
@@ -305,17 +312,17 @@
         }
     }
 
-    /// Takes the revisions over that a refused commit showed. Returns whether
-    /// the root is still as expected.
-    pub fn conflicted(&self, batch: &Batch, items: &[StoredItem], root_revision: u64) -> bool {
+    /// Records the revisions that a conflicting commit returned. Returns whether the
+    /// root still has the expected revision.
+    pub fn handle_conflict(&self, batch: &Batch, items: &[StoredItem], root_revision: u64) -> bool {
         let mut pending = self.pending.borrow_mut();
-        let now = |key: &str| {
+        let current_revision = |key: &str| {
             let item = items.iter().find(|item| item.key == key);
             item.map_or(0, |item| item.revision)
         };
         for (key, _) in &batch.transaction.expected {
-            pending.revisions.insert(key.clone(), now(key));
+            pending.revisions.insert(key.clone(), current_revision(key));
         }
-        now(ROOT_KEY) == root_revision
+        current_revision(ROOT_KEY) == root_revision
     }
 }
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -1,4 +1,4 @@
-//! Keys and values that the product keeps in the store.
+//! The keys and values that daemons keep in the store, and their encoding.
 
 use super::invalid_values::InvalidReason;
 use crate::core::JobId;
@@ -16,9 +16,10 @@
     Serialize, //
 };
 
-/// The owner's epoch: every commit of an owner is conditional on it.
+/// The root: names the owner and its epoch. Every commit of an owner is conditional on
+/// the root's revision.
 pub const ROOT_KEY: &str = "owner";
-/// Workers that owners use or used.
+/// The roster: workers that an owner uses or has used.
 pub const ROSTER_KEY: &str = "roster";
 /// Accepted jobs and their cancellations.
 pub const JOBS_PREFIX: &str = "jobs/";
@@ -26,54 +27,55 @@
 pub const PROGRESS_PREFIX: &str = "progress/";
 /// Daemons, each under a lease.
 pub const MEMBERS_PREFIX: &str = "members/";
-/// Workers that owners closed, written by the owner.
+/// Workers that are closed to new starts, written by the owner.
 pub const CLOSED_PREFIX: &str = "closed/";
-/// Data centres that get no new tasks, as an owner came to know of it; written by
-/// the owner for people to read.
+/// Data centres that get no new tasks, with the time at which an owner learned of it;
+/// written by the owner for people to read.
 pub const EMPTIED_PREFIX: &str = "emptied/";
 const CANCELLED_SUFFIX: &str = "/cancelled";
-/// Highest epoch that is believed: with one owner a second, after 30,000 years.
-/// Runs are numbered by thousands for each epoch, and must not overflow.
+/// Highest valid epoch, reached after 30,000 years with one owner a second. Each epoch
+/// has its own range of run numbers, which must not overflow.
 const MAX_EPOCH: u64 = 1 << 40;
-/// Highest number of a run that is believed, far above those of that epoch.
+/// Highest valid run number, far above those of any real epoch.
 const MAX_RUN: u64 = 1 << 52;
 
-/// An owner that was followed this long ago gives no more leases, and none that it
-/// gave lasts: four times the 13.3 s of both, since daemons' clocks differ.
-const EARLIER_MS: u64 = 60_000;
+/// After this time a superseded owner gives no more leases, and every lease it gave has
+/// expired. Both take 13.3 s at most; this is four times as long, since the clocks of
+/// daemons differ.
+const EARLIER_OWNER_MS: u64 = 60_000;
 
 /// The value of the root.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RootRecord {
-    /// The epoch; it only rises.
+    /// The epoch, which only rises.
     pub epoch: u64,
     /// The owner's name.
     pub owner: String,
-    /// Where the owner is called.
+    /// Address at which other daemons reach the owner.
     pub address: String,
-    /// The life of the owner's process.
+    /// Incarnation of the owner's process.
     pub boot: u64,
-    /// Owners before it that may still give leases; none in values that an older
-    /// version stored.
+    /// Earlier owners that may still give leases; empty in values that an older version
+    /// stored.
     #[serde(default)]
     pub earlier: Vec<EarlierOwner>,
 }
 
-/// An owner that was followed by another and was not known to be over.
+/// A superseded owner whose incarnation was not known to be over.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EarlierOwner {
     /// Its name.
     pub owner: String,
-    /// The life of its process.
+    /// Incarnation of its process.
     pub boot: u64,
-    /// When it was followed, by the clock of the daemon that did.
+    /// When it was superseded, by the clock of the daemon that took over.
     pub followed_ms: u64,
 }
 
 impl RootRecord {
-    /// The owners, the one of this root among them, that may still give leases when
-    /// a daemon takes over at `now_ms`. The last root alone does not tell: an owner
-    /// that is cut off goes on, also if the one that followed it crashes at once.
+    /// Returns the owners, including the one of this root, that may still give leases
+    /// when a daemon takes over at `now_ms`. The last owner alone is not enough: an
+    /// owner that is cut off goes on, even if the owner after it crashes at once.
     pub fn not_over(
         &self,
         now_ms: u64,
@@ -89,7 +91,7 @@
         };
         let known = self.earlier.iter().cloned().chain([last]);
         known
-            .filter(|earlier| now_ms < earlier.followed_ms + EARLIER_MS)
+            .filter(|earlier| now_ms < earlier.followed_ms + EARLIER_OWNER_MS)
             .filter(|earlier| !is_incarnation_over(&earlier.owner, earlier.boot))
             .collect()
     }
@@ -101,40 +103,41 @@
     /// The worker's name.
     #[serde(rename = "incarnation")]
     pub worker_name: String,
-    /// Where it is called.
+    /// Address at which it is called.
     pub address: String,
 }
 
 /// Whether a worker gets no more starts.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ClosedRecord {
-    /// It gets none. A record that says no takes the place of one that says
-    /// yes: a late write of that one then no longer meets its condition.
+    /// Whether the worker is closed. An opened worker gets a record with `false` in
+    /// place of the one with `true`, so that a late write of that one fails its
+    /// condition.
     pub closed: bool,
     /// When the worker's incarnation started, since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation_start_ms: Option<u64>,
-    /// Tasks and the numbers of their runs that may be there.
+    /// Runs that may be there, as task and run number.
     pub runs: Vec<(String, u64)>,
-    /// Those that the worker confirmed, with whether it did not respond after the
-    /// start; none where an earlier version stored it.
+    /// The runs among them that the worker confirmed, each with whether the worker did
+    /// not respond after the start; empty in values that an earlier version stored.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub confirmed: Vec<(String, u64, bool)>,
 }
 
-fn read_run(task: &str, run: u64) -> Option<RunName> {
+fn parse_run(task: &str, run: u64) -> Option<RunName> {
     let task = task.parse().ok()?;
     Some(RunName { task, run })
 }
 
 impl ClosedRecord {
-    /// The record of a worker with these runs.
-    pub fn of(closed: bool, there: &ClosedRuns) -> Self {
-        let runs = there.runs.iter();
-        let confirmed = there.confirmed.iter();
+    /// Creates the record of a worker on which `closed_runs` may be.
+    pub fn of(closed: bool, closed_runs: &ClosedRuns) -> Self {
+        let runs = closed_runs.runs.iter();
+        let confirmed = closed_runs.confirmed.iter();
         Self {
             closed,
-            incarnation_start_ms: there.incarnation_start_ms,
+            incarnation_start_ms: closed_runs.incarnation_start_ms,
             runs: runs.map(|name| (name.task.to_string(), name.run)).collect(),
             confirmed: confirmed
                 .map(|run| (run.name.task.to_string(), run.name.run, run.at_start))
@@ -142,12 +145,12 @@
         }
     }
 
-    /// The runs, if the worker is closed and all of them read.
+    /// Returns the runs, if the worker is closed and all of them can be decoded.
     pub fn closed_runs(&self) -> Option<ClosedRuns> {
-        let runs = self.runs.iter().map(|(task, run)| read_run(task, *run));
+        let runs = self.runs.iter().map(|(task, run)| parse_run(task, *run));
         let confirmed = self.confirmed.iter().map(|(task, run, at_start)| {
             Some(ConfirmedRun {
-                name: read_run(task, *run)?,
+                name: parse_run(task, *run)?,
                 at_start: *at_start,
                 expected_end_ms: None,
             })
@@ -161,14 +164,14 @@
     }
 }
 
-/// A daemon as it registers itself.
+/// A daemon's registration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MemberRecord {
-    /// Where other daemons reach it.
+    /// Address at which other daemons reach it.
     pub address: String,
 }
 
-/// What a key under [`JOBS_PREFIX`] is.
+/// What a key under [`JOBS_PREFIX`] stands for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobKeyKind {
     /// The job itself.
@@ -197,7 +200,7 @@
     format!("{MEMBERS_PREFIX}{daemon}")
 }
 
-/// The job that a text of 16 hexadecimal digits names.
+/// Parses the id of a job: 16 hexadecimal digits.
 pub fn job_id(text: &str) -> Option<JobId> {
     let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let value = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten();
@@ -209,12 +212,12 @@
     format!("{CLOSED_PREFIX}{worker_name}")
 }
 
-/// Since when an owner knows that a data centre gets no new tasks.
+/// Since when owners have known that a data centre gets no new tasks.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct EmptiedRecord {
-    /// The store's revision of the operators' order.
+    /// Revision of the operators' order in the store.
     pub revision: u64,
-    /// When the first owner came to know of it, since the Unix epoch.
+    /// When the first owner learned of the order, since the Unix epoch.
     pub known_since_ms: u64,
 }
 
@@ -223,7 +226,7 @@
     format!("{EMPTIED_PREFIX}{data_centre}")
 }
 
-/// Reads a key under [`JOBS_PREFIX`].
+/// Parses a key under [`JOBS_PREFIX`].
 pub fn read_job_key(key: &str) -> Option<JobKeyKind> {
     let name = key.strip_prefix(JOBS_PREFIX)?;
     match name.strip_suffix(CANCELLED_SUFFIX) {
@@ -232,26 +235,26 @@
     }
 }
 
-/// A value as it is stored.
+/// Encodes a value for the store.
 pub fn encode<T: Serialize>(value: &T) -> Bytes {
-    // Plain structs of numbers and texts always encode.
+    // Serialising plain structs of numbers and strings never fails.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Reads a stored value.
+/// Decodes a stored value.
 ///
 /// # Errors
 ///
-/// It is none of this kind.
+/// The bytes are not a JSON value of this type.
 pub fn decode<T: DeserializeOwned>(value: &[u8]) -> Result<T, InvalidReason> {
     Ok(serde_json::from_slice(value)?)
 }
 
-/// Reads the root.
+/// Decodes the root.
 ///
 /// # Errors
 ///
-/// It is none, or its epoch is higher than any owner comes.
+/// The bytes are no root, or its epoch is too high to be valid.
 pub fn decode_root(value: &[u8]) -> Result<RootRecord, InvalidReason> {
     let root: RootRecord = decode(value)?;
     match root.epoch <= MAX_EPOCH {
@@ -260,11 +263,11 @@
     }
 }
 
-/// Reads a job.
+/// Decodes the record of a job.
 ///
 /// # Errors
 ///
-/// It is none, or nobody can run it.
+/// The bytes are no job record, or the job cannot be run.
 pub fn decode_job_record(value: &[u8]) -> Result<JobRecord, InvalidReason> {
     let record: JobRecord = decode(value)?;
     match record.spec.problem() {
@@ -276,11 +279,11 @@
     }
 }
 
-/// Reads the progress of a job.
+/// Decodes the progress of a job.
 ///
 /// # Errors
 ///
-/// It is none, or names runs that no owner numbers so.
+/// The bytes are no progress, or a run number is too high to be valid.
 pub fn decode_progress(value: &[u8]) -> Result<ProgressRecord, InvalidReason> {
     let record: ProgressRecord = decode(value)?;
     match record.highest_run() <= MAX_RUN {
--- a/src/cluster/store_calls.rs
+++ b/src/cluster/store_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the store: noting how they go, and giving up those that fell into a
-//! silence of the store.
+//! Makes calls to the store, records their outcomes, and abandons calls that were lost
+//! in an outage of the store.
 
 use super::store_health::{
     CallKey,
@@ -12,28 +12,28 @@
 use std::cell::RefCell;
 use tokio::sync::Notify;
 
-/// How the calls of this daemon go.
+/// The calls of this daemon to the store, and the health that they show.
 pub struct StoreCalls {
     timer: Timer,
     health: RefCell<StoreHealth>,
     answered: Notify,
 }
 
-/// A call to the store that ends when this does: a client that leaves takes its
-/// calls along.
-struct CallUnderWay<'a> {
+/// Marks a call as finished when dropped, also if the call is cancelled because its
+/// client disconnected.
+struct CallGuard<'a> {
     health: &'a RefCell<StoreHealth>,
     key: CallKey,
 }
 
-impl Drop for CallUnderWay<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.health.borrow_mut().call_finished(self.key);
     }
 }
 
 impl StoreCalls {
-    /// No call was made yet.
+    /// Creates the state before the first call.
     pub fn open(timer: Timer) -> Self {
         Self {
             timer,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Records whether a call to the store was answered.
-    pub fn record_outcome(&self, well: bool) {
+    /// Records whether a call to the store succeeded.
+    pub fn record_outcome(&self, succeeded: bool) {
         let change = self
             .health
             .borrow_mut()
-            .record_outcome(well, self.timer.now_ms());
-        if well {
+            .record_outcome(succeeded, self.timer.now_ms());
+        if succeeded {
             self.answered.notify_waiters();
         }
         match change {
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Makes a call to the store for a client's request and records its outcome.
+    /// Makes a call to the store and records its outcome and latency.
     pub async fn call_store<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let began_ms = self.timer.now_ms();
-        let under_way = CallUnderWay {
+        let guard = CallGuard {
             health: &self.health,
             key: self.health.borrow_mut().call_started(began_ms),
         };
         let outcome = self.abandon_after_outage(call).await;
-        drop(under_way);
+        drop(guard);
         if outcome.is_ok() {
             let took_ms = self.timer.now_ms() - began_ms;
             self.health.borrow_mut().record_latency(took_ms);
@@ -82,8 +82,8 @@
         outcome
     }
 
-    /// Waits for a call, and abandons it if the store turns out to have been down since
-    /// it was made: such a call is never answered.
+    /// Waits for a call, and abandons it once the store has recovered from an outage that
+    /// ended after the call was made: such a call is never answered.
     pub async fn abandon_after_outage<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
@@ -91,7 +91,7 @@
         let began_ms = self.timer.now_ms();
         tokio::select! {
             outcome = call => outcome,
-            () = self.silence_over(began_ms) => {
+            () = self.lost_in_outage(began_ms) => {
                 metrics::counter!("fuchsiaslip_retries_total", "reason" => "store_was_silent")
                     .increment(1);
                 Err(StoreError::NoAnswer)
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Waits until a call made at `began_ms` turns out to have fallen into a
-    /// silence of the store that is over: it is never answered.
-    async fn silence_over(&self, began_ms: u64) {
+    /// Waits until the store has recovered from an outage that ended after a call made
+    /// at `began_ms`.
+    async fn lost_in_outage(&self, began_ms: u64) {
         loop {
             self.answered.notified().await;
             if self.health.borrow().is_lost_in_outage(began_ms) {
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Whether a sign of life is missing.
+    /// Whether an answer of the store is overdue or calls fail.
     pub fn is_overdue(&self) -> bool {
         self.health.borrow().is_overdue(self.timer.now_ms())
     }
 
-    /// How long to wait before a call is made again.
+    /// How long to wait for an answer before a call is retried, in milliseconds.
     pub fn answer_timeout_ms(&self) -> u64 {
         self.health.borrow().answer_timeout_ms()
     }
@@ -125,12 +125,12 @@
         !self.health.borrow().is_down(self.timer.now_ms())
     }
 
-    /// Whether what a client sends can be stored now.
+    /// Whether a client's job can be stored now.
     pub fn accepts_jobs(&self) -> bool {
         !self.health.borrow().is_unavailable(self.timer.now_ms())
     }
 
-    /// When the store last recovered; 0 for never down.
+    /// When calls were last answered again after a failure; 0 if none has failed.
     pub fn recovered_ms(&self) -> u64 {
         self.health.borrow().recovered_ms()
     }
--- a/src/cluster/store_health.rs
+++ b/src/cluster/store_health.rs
@@ -1,50 +1,51 @@
-//! Whether the store answers this daemon, by how its calls went.
+//! Tracks whether the store answers this daemon, from the outcomes of its calls.
 //!
-//! Load pattern: the store is silent for some seconds, for this daemon or for all,
-//! or single answers are lost. What is sent to a silent store ends without a known
-//! outcome after the time that its client has. So jobs are refused at once, which
-//! is true of what was never sent, as soon as a call is overdue; the store is asked
-//! for a sign of life meanwhile, and what was sent before it fell silent is given
-//! up when it is back, since such a call is never answered. A call that takes
-//! several times as long as usual is made again. Limits: a store that is merely
-//! slow answers within a third of a second.
+//! Load pattern: the store does not respond for some seconds, to this daemon or to
+//! all, or single answers are lost. A job that is sent to an unresponsive store has no
+//! known outcome when its client's deadline passes. So jobs are refused at once when a
+//! call has gone unanswered for too long: a job that was never sent is certainly not
+//! stored. Meanwhile the store is probed. When it answers again, calls that were made
+//! before are abandoned, since they are never answered. A call that takes
+//! several times the usual latency is retried. Limit: a store that is merely slow
+//! answers within a third of a second.
 
 use std::collections::BTreeMap;
 
-/// A store that failed for this long is said to be lost.
-const LOST_MS: u64 = 400;
-/// A call that takes this long, with no other answered since, shows that the store
-/// is silent: twice what a slow store takes.
-const SILENT_MS: u64 = 700;
-/// A call that takes this long is overdue: the store is asked for a sign of life.
+/// A store whose calls have failed for this long counts as down.
+const DOWN_MS: u64 = 400;
+/// A call that takes this long, with no other call answered since, shows that the store
+/// is unresponsive: twice what a slow store takes.
+const UNRESPONSIVE_MS: u64 = 700;
+/// A call that takes this long is overdue: the store is probed.
 const OVERDUE_MS: u64 = 300;
-/// A call that was made this short before the store was back may be answered.
-const BEFORE_RETURN_MS: u64 = 100;
-/// Shortest time after which a call is made again.
-const LEAST_PATIENCE_MS: f64 = 120.0;
-/// Longest such time: the bound of any call.
-const MOST_PATIENCE_MS: f64 = 1_000.0;
-/// A call that takes so many times as long as usual was lost.
-const PATIENCE_FACTOR: f64 = 4.0;
-/// Weight of a new answer's time in the usual one.
+/// A call that was made at most this long before the recovery may still be answered.
+const RECOVERY_MARGIN_MS: u64 = 100;
+/// Shortest time after which a call is retried.
+const MIN_TIMEOUT_MS: f64 = 120.0;
+/// Longest time after which a call is retried: the timeout of any call.
+const MAX_TIMEOUT_MS: f64 = 1_000.0;
+/// A call that takes this many times the usual latency counts as lost.
+const TIMEOUT_FACTOR: f64 = 4.0;
+/// Weight of a new answer's latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// A call to the store that is on its way.
+/// Identifies a call to the store that is in flight.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallKey(u64);
 
-/// How calls to the store went.
+/// The health of the store, as this daemon's calls show it.
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
     failed_since_ms: Option<u64>,
     recovered_ms: u64,
     answered_ms: u64,
-    /// When it last answered after a silence.
-    silence_over_ms: u64,
-    usual_ms: f64,
+    /// When the store first answered after its last outage.
+    outage_end_ms: u64,
+    /// Moving average of the latency of answers.
+    usual_latency_ms: f64,
     last_call: u64,
-    /// Calls on their way, with the times at which they were made.
-    under_way: BTreeMap<u64, u64>,
+    /// Calls in flight, with the times at which they were made.
+    in_flight: BTreeMap<u64, u64>,
 }
 
 /// What changed with a call's outcome.
@@ -52,9 +53,9 @@
 pub enum HealthChange {
     /// Calls fail from now on.
     Failing,
-    /// Calls are answered again, after this long.
+    /// Calls are answered again.
     Recovered {
-        /// How long they failed.
+        /// How long they failed, in milliseconds.
         for_ms: u64,
     },
 }
@@ -63,35 +64,35 @@
     /// Records that a call is made.
     pub fn call_started(&mut self, now_ms: u64) -> CallKey {
         self.last_call += 1;
-        self.under_way.insert(self.last_call, now_ms);
+        self.in_flight.insert(self.last_call, now_ms);
         CallKey(self.last_call)
     }
 
     /// Records that a call was answered or abandoned.
     pub fn call_finished(&mut self, call: CallKey) {
-        self.under_way.remove(&call.0);
+        self.in_flight.remove(&call.0);
     }
 
     /// Records how long an answer took.
     pub fn record_latency(&mut self, took_ms: u64) {
-        self.usual_ms += LATENCY_WEIGHT * (took_ms as f64 - self.usual_ms);
+        self.usual_latency_ms += LATENCY_WEIGHT * (took_ms as f64 - self.usual_latency_ms);
     }
 
-    /// How long to wait for an answer before a call is made again.
+    /// How long to wait for an answer before a call is retried, in milliseconds.
     pub fn answer_timeout_ms(&self) -> u64 {
-        let answer_timeout_ms = LEAST_PATIENCE_MS + PATIENCE_FACTOR * self.usual_ms;
-        answer_timeout_ms.min(MOST_PATIENCE_MS) as u64
+        let answer_timeout_ms = MIN_TIMEOUT_MS + TIMEOUT_FACTOR * self.usual_latency_ms;
+        answer_timeout_ms.min(MAX_TIMEOUT_MS) as u64
     }
 
-    /// Records whether a call was answered.
-    pub fn record_outcome(&mut self, well: bool, now_ms: u64) -> Option<HealthChange> {
-        if well {
-            if self.is_unavailable(now_ms) || self.failed_in_silence() {
-                self.silence_over_ms = now_ms;
+    /// Records whether a call succeeded.
+    pub fn record_outcome(&mut self, succeeded: bool, now_ms: u64) -> Option<HealthChange> {
+        if succeeded {
+            if self.is_unavailable(now_ms) || self.failed_in_outage() {
+                self.outage_end_ms = now_ms;
             }
             self.answered_ms = now_ms;
         }
-        match (well, self.failed_since_ms) {
+        match (succeeded, self.failed_since_ms) {
             (true, Some(since_ms)) => {
                 self.failed_since_ms = None;
                 self.recovered_ms = now_ms;
@@ -109,42 +110,43 @@
     /// Whether calls have failed for so long that the store counts as down.
     pub fn is_down(&self, now_ms: u64) -> bool {
         let since_ms = self.failed_since_ms;
-        since_ms.is_some_and(|since_ms| now_ms >= since_ms + LOST_MS)
+        since_ms.is_some_and(|since_ms| now_ms >= since_ms + DOWN_MS)
     }
 
-    /// Whether calls fail after a silence. A call's own bound may pass just before
-    /// the store is back: what was made anew then waited for its bound as well, and
-    /// daemons had no configuration for a second after the store's return.
-    fn failed_in_silence(&self) -> bool {
+    /// Whether calls began to fail when the store had been unresponsive. A call may
+    /// time out just before the store recovers; if this did not count as an outage, the
+    /// call made in its place would wait for its own timeout, and daemons would have no
+    /// configuration for a second after the recovery.
+    fn failed_in_outage(&self) -> bool {
         let since_ms = self.failed_since_ms;
-        since_ms.is_some_and(|since_ms| since_ms >= self.answered_ms + SILENT_MS)
+        since_ms.is_some_and(|since_ms| since_ms >= self.answered_ms + UNRESPONSIVE_MS)
     }
 
-    /// When it last recovered; 0 for never down.
+    /// When calls were last answered again after a failure; 0 if none has failed.
     pub fn recovered_ms(&self) -> u64 {
         self.recovered_ms
     }
 
-    /// For how long a call waits while no other was answered.
+    /// How long the oldest call made since the last answer has been in flight.
     fn unanswered_ms(&self, now_ms: u64) -> u64 {
-        let since = self.under_way.values().copied();
+        let since = self.in_flight.values().copied();
         let oldest_ms = since.filter(|&at_ms| at_ms >= self.answered_ms).min();
         oldest_ms.map_or(0, |at_ms| now_ms.saturating_sub(at_ms))
     }
 
-    /// Whether a sign of life is missing.
+    /// Whether an answer is overdue or calls fail.
     pub fn is_overdue(&self, now_ms: u64) -> bool {
         self.failed_since_ms.is_some() || self.unanswered_ms(now_ms) >= OVERDUE_MS
     }
 
-    /// Whether a job that is sent now would wait in vain.
+    /// Whether a job that is sent now would probably get no answer.
     pub fn is_unavailable(&self, now_ms: u64) -> bool {
-        let silent_ms = SILENT_MS.max((PATIENCE_FACTOR * self.usual_ms) as u64);
-        self.is_down(now_ms) || self.unanswered_ms(now_ms) >= silent_ms
+        let unresponsive_ms = UNRESPONSIVE_MS.max((TIMEOUT_FACTOR * self.usual_latency_ms) as u64);
+        self.is_down(now_ms) || self.unanswered_ms(now_ms) >= unresponsive_ms
     }
 
-    /// Whether a call made at `began_ms` was lost in an outage that is over.
+    /// Whether a call made at `began_ms` was lost in an outage that has ended.
     pub fn is_lost_in_outage(&self, began_ms: u64) -> bool {
-        began_ms + BEFORE_RETURN_MS < self.silence_over_ms
+        began_ms + RECOVERY_MARGIN_MS < self.outage_end_ms
     }
 }
--- a/src/cluster/store_probe.rs
+++ b/src/cluster/store_probe.rs
@@ -1,21 +1,21 @@
-//! Asking a store that owes answers for a sign of life.
+//! Probes the store while its answers are overdue, to notice its recovery.
 
 use super::node::Node;
 use std::rc::Rc;
 
-/// How often a store that owes answers is asked for a sign of life: its return is
-/// noticed within this time.
-const PROBE_MS: u64 = 150;
-/// In large fleets each daemon asks less often: together 250 times a second.
-const PROBE_PER_DAEMON_MS: u64 = 4;
-/// A sign of life that takes longer is no use; the next is under way.
-const PROBE_LIMIT_MS: u64 = 500;
+/// Interval of probes: a recovery is noticed within this time.
+const PROBE_INTERVAL_MS: u64 = 150;
+/// Shortest interval for each other daemon. In large fleets each daemon probes less
+/// often, so that all together probe 250 times a second.
+const INTERVAL_PER_DAEMON_MS: u64 = 4;
+/// Timeout of a probe. A later answer is of no use, as further probes are in flight.
+const PROBE_TIMEOUT_MS: u64 = 500;
 
-/// Asks a store that owes answers for a sign of life, for ever.
+/// Probes the store whenever its answers are overdue; never returns.
 pub async fn run(node: Rc<Node>) {
     loop {
         let daemons = node.other_count() as u64;
-        let wait_ms = PROBE_MS.max(daemons * PROBE_PER_DAEMON_MS);
+        let wait_ms = PROBE_INTERVAL_MS.max(daemons * INTERVAL_PER_DAEMON_MS);
         node.timer.sleep(wait_ms).await;
         if !node.is_store_overdue() {
             continue;
@@ -23,8 +23,8 @@
         let node = node.clone();
         actix_rt::spawn(async move {
             metrics::counter!("fuchsiaslip_store_probes_total").increment(1);
-            // Without an answer nothing is learnt that is not known.
-            if node.store.probe(PROBE_LIMIT_MS).await.is_ok() {
+            // A failed probe shows nothing new, so only answers are recorded.
+            if node.store.probe(PROBE_TIMEOUT_MS).await.is_ok() {
                 node.record_store_outcome(true);
             }
         });
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -1,8 +1,8 @@
 //! Converts stored values into inputs for the scheduler.
 //!
-//! A new owner reads lists of everything, and an owner follows single changes:
-//! both translate here, so a value means the same to them. A value that cannot be
-//! used is told to on-call.
+//! A new owner reads complete lists, and an owner watches single changes. Both use
+//! these conversions, so that a value means the same in either case. Invalid values
+//! are reported to on-call.
 
 use super::invalid_values::{
     InvalidReason, //
@@ -47,10 +47,10 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What is stored of closed workers, by name; `None` for what does not read.
+/// Records of closed workers, by worker name; `None` for one that cannot be decoded.
 pub type ClosedRecords = HashMap<String, Option<ClosedRecord>>;
 
-/// What is stored of closed workers. The revisions are noted for later writes.
+/// Decodes the records of closed workers, and records their revisions for later writes.
 pub fn closed_records(node: &Node, closed: &StoredRange) -> ClosedRecords {
     let records = closed.items.iter().map(|item| {
         node.pending_writes.note_revision(&item.key, item.revision);
@@ -61,9 +61,10 @@
     records.collect()
 }
 
-/// The workers that earlier owners used, with what is stored of closed ones. A
-/// record that does not read names no runs, so its worker may run anything, and
-/// is told to the store anew as open.
+/// Returns inputs for the workers on the roster, with the runs of closed ones. A closed
+/// record that cannot be decoded names no runs, so its worker may run anything; the
+/// record is overwritten with that of an open worker. Records of workers that are not
+/// on the roster are removed.
 pub fn known_workers(node: &Node, rows: Vec<RosterRow>, mut records: ClosedRecords) -> Vec<Input> {
     let mut inputs = Vec::with_capacity(rows.len());
     let mut changed = Vec::new();
@@ -80,7 +81,7 @@
             address: row.address,
         });
     }
-    // What is left names workers that are gone.
+    // The records that are left name workers that are gone.
     let left = records.into_iter().filter(|(_, record)| record.is_some());
     changed.extend(left.map(|(worker_name, _)| (worker_name, None)));
     node.pending_writes.add(Changes {
@@ -90,7 +91,8 @@
     inputs
 }
 
-/// The closed workers beside a roster that does not read: it may name them.
+/// Returns inputs for all closed workers, for a roster that cannot be decoded: it may
+/// name any of them.
 pub fn closed_workers(records: ClosedRecords) -> Vec<Input> {
     let records = records.into_iter();
     let closed = records.filter_map(|(worker_name, record)| {
@@ -100,7 +102,7 @@
     closed.collect()
 }
 
-/// What an earlier owner stored of data centres that get no new tasks.
+/// Decodes the records of emptied data centres that earlier owners stored.
 pub fn emptied_records(node: &Node, emptied: &StoredRange) -> Vec<FoundEmptied> {
     let items = emptied.items.iter();
     let records = items.map(|item| {
@@ -110,7 +112,7 @@
     records.collect()
 }
 
-/// The waves of upkeep that are not completed.
+/// Returns inputs for the waves of upkeep that are not completed.
 pub fn wave_inputs(node: &Node, waves: &StoredRange, states: &StoredRange) -> Vec<Input> {
     let is_completed = |item: &&StoredItem| {
         let read = is_wave_completed(&item.value);
@@ -126,16 +128,16 @@
     open.collect()
 }
 
-/// A wave; one that cannot be used is told and passed over.
+/// Decodes a wave; an invalid one is reported and skipped.
 pub fn wave_order(node: &Node, item: &StoredItem) -> Option<WaveOrder> {
     node.valid_value(StoredKind::Wave, item, read_wave(item))
 }
 
-/// Reads a wave.
+/// Decodes a wave.
 ///
 /// # Errors
 ///
-/// It is none, or its key names another.
+/// The value is no wave, or its key names another wave.
 pub fn read_wave(item: &StoredItem) -> Result<WaveOrder, InvalidReason> {
     let order = decode_wave(&item.value)?;
     match item.key.strip_prefix(WAVES_PREFIX) == Some(&order.number.to_string()) {
@@ -144,14 +146,14 @@
     }
 }
 
-/// The registrations of workers as news.
+/// Returns inputs for the registrations of workers.
 pub fn worker_inputs(node: &Node, workers: &StoredRange) -> Vec<Input> {
     let rows = workers.items.iter();
     rows.filter_map(|item| worker_input(node, item)).collect()
 }
 
-/// One registration as news: also one that names no worker to use, since the
-/// worker may be known.
+/// Returns the input for a worker's registration. An invalid registration has an input
+/// too, since the worker may be known.
 pub fn worker_input(node: &Node, item: &StoredItem) -> Option<Input> {
     let worker_name = item.key.strip_prefix(WORKERS_PREFIX)?;
     Some(match decode_worker(worker_name, &item.value) {
@@ -167,11 +169,11 @@
     })
 }
 
-/// Stored jobs with their progress and cancellations as news. A job of which a
-/// value does not read is news too: taken for one without progress, what is done
-/// of it would run again.
+/// Returns inputs for stored jobs with their progress, and for cancellations. A job with
+/// a value that cannot be decoded has an input of its own: treated as a job without
+/// progress, its completed tasks would run again.
 pub fn job_inputs(node: &Node, jobs: &StoredRange, progress: &StoredRange) -> Vec<Input> {
-    let mut noted: HashMap<JobId, Option<ProgressRecord>> = HashMap::new();
+    let mut progress_by_job: HashMap<JobId, Option<ProgressRecord>> = HashMap::new();
     for item in &progress.items {
         node.pending_writes.note_revision(&item.key, item.revision);
         let Some(job) = item.key.strip_prefix(PROGRESS_PREFIX).and_then(job_id) else {
@@ -183,7 +185,7 @@
             continue;
         };
         let read = decode_progress(&item.value);
-        noted.insert(job, node.valid_value(StoredKind::Progress, item, read));
+        progress_by_job.insert(job, node.valid_value(StoredKind::Progress, item, read));
     }
     let mut inputs = Vec::with_capacity(jobs.items.len());
     for item in &jobs.items {
@@ -191,7 +193,7 @@
             Some(JobKeyKind::Job(id)) => {
                 let read = decode_job_record(&item.value);
                 let record = node.valid_value(StoredKind::Job, item, read);
-                match (record, noted.remove(&id)) {
+                match (record, progress_by_job.remove(&id)) {
                     (Some(record), None) => inputs.push(job_input(id, record, None)),
                     (Some(record), Some(Some(progress))) => {
                         inputs.push(job_input(id, record, Some(progress)));
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -1,9 +1,10 @@
-//! Storing accepted jobs and cancellations, and what a caller may be told.
+//! Stores accepted jobs and cancellations, and answers queries for jobs.
 //!
-//! Any daemon stores a job itself, so jobs are accepted while the owner
-//! changes. The store's answer decides: carried out, or a key that is there
-//! already, is accepted; refused before anything was sent is not accepted; no
-//! answer is neither, and the caller is told to ask again with the same name.
+//! Any daemon stores a job itself, so jobs are accepted while the owner changes. The
+//! store's answer decides. A job is accepted if its commit was carried out or its key
+//! already exists. It is not accepted if the store refused it before anything was sent.
+//! If the store did not answer, the outcome is unknown, and the client retries with the
+//! same job name.
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
@@ -36,32 +37,33 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Wait before a call without an answer is made again.
-const AGAIN_MS: u64 = 40;
-/// Bound on asking a peer to store something for this daemon.
-const FORWARD_LIMIT_MS: u64 = 1_500;
-/// Bound on one question to the owner: it answers in a few milliseconds.
-const OWNER_LIMIT_MS: u64 = 350;
-/// An owner that changes is waited for this long, about a takeover; then the
-/// store is asked.
+/// Delay before a call that got no answer is retried.
+const RETRY_MS: u64 = 40;
+/// Timeout of asking a peer to store a job or a cancellation for this daemon.
+const FORWARD_TIMEOUT_MS: u64 = 1_500;
+/// Timeout of one query to the owner, which answers in a few milliseconds.
+const OWNER_TIMEOUT_MS: u64 = 350;
+/// How long a query for a job is sent to the owner, about the duration of a takeover;
+/// then the store is read.
 const OWNER_WAIT_MS: u64 = 900;
-const OWNER_AGAIN_MS: u64 = 60;
+/// Delay before an unanswered query to the owner is retried.
+const OWNER_RETRY_MS: u64 = 60;
 
 /// The outcome of storing a job or a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StorageOutcome {
     /// It is stored.
     Done,
-    /// It is not and will not be.
+    /// It is not stored and will not be.
     Refused,
-    /// It may be, or may be later.
+    /// It may be stored, now or later.
     Unknown,
-    /// There is nothing that it belongs to.
+    /// The job to be cancelled does not exist.
     NoSuchJob,
 }
 
 impl StorageOutcome {
-    /// The outcome as a number, for peers.
+    /// The outcome's number in messages between daemons.
     pub fn code(self) -> u32 {
         match self {
             Self::Done => 1,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The outcome of a number; an unknown one tells nothing.
+    /// The outcome with this number; `Unknown` for an unassigned one.
     pub fn of_code(code: u32) -> Self {
         match code {
             1 => Self::Done,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Accepts a job: stores it, here or through a peer, and tells the owner.
+/// Accepts a job: stores it, from here or through a peer, and tells the owner.
 pub async fn accept(
     node: &Rc<Node>,
     job: JobId,
@@ -90,8 +92,8 @@
     until_ms: u64,
 ) -> StorageOutcome {
     let bytes = encode(&record);
-    // A store that is known not to answer is not tried: the refusal is true
-    // and at once, where waiting would end without a known outcome.
+    // A store that is known not to answer is not tried: an immediate refusal is
+    // correct, whereas a call would end without a known outcome.
     let mut stored = match node.accepts_jobs() {
         true => store_job(node, job, bytes.clone(), until_ms).await,
         false => StorageOutcome::Refused,
@@ -104,17 +106,17 @@
             job: job.0,
             record: bytes.to_vec(),
         });
-        stored = forwarded(node.peers.ask(peer, body, FORWARD_LIMIT_MS).await);
+        stored = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if stored == StorageOutcome::Done && node.owns() {
-        take_job(node, job, record);
+        send_job_input(node, job, record);
     } else if stored == StorageOutcome::Done {
         tell_owner_of_job(node, job, bytes);
     }
     stored
 }
 
-/// Tells this daemon's own scheduler of a stored job.
-fn take_job(node: &Node, job: JobId, record: JobRecord) {
+/// Sends a stored job to this daemon's own scheduler.
+fn send_job_input(node: &Node, job: JobId, record: JobRecord) {
     let input = Input::JobStored {
         id: job,
         record: Arc::new(record),
@@ -123,7 +125,7 @@
     node.control.send_input(node.epoch(), input);
 }
 
-/// Stores a job in the store.
+/// Writes a job to the store.
 pub async fn store_job(
     node: &Rc<Node>,
     job: JobId,
@@ -135,46 +137,48 @@
         puts: vec![(job_key(job), record)],
         ..Transaction::default()
     };
-    let mut sure = true;
-    let mut limit_ms = node.store_timeout_ms();
+    // Whether a refusal means that no attempt has stored the job.
+    let mut refusal_is_final = true;
+    let mut timeout_ms = node.store_timeout_ms();
     loop {
-        let call = node.store.commit_within(&transaction, limit_ms);
+        let call = node.store.commit_within(&transaction, timeout_ms);
         let outcome = node.call_store(call).await;
-        // A store that is slow, or a large job on a slow link, gets its time.
-        limit_ms *= 2;
+        // Allows for a slow store, and for a large job on a slow link.
+        timeout_ms *= 2;
         match outcome {
-            // A key that is there is this very job, sent again.
+            // An existing key is that of the same job, sent again.
             Ok(CommitResult::Done { .. } | CommitResult::Conflict(_)) => {
                 return StorageOutcome::Done;
             }
             Ok(CommitResult::LeaseOver) => return StorageOutcome::Refused,
-            Err(StoreError::Refused) if sure => return StorageOutcome::Refused,
+            Err(StoreError::Refused) if refusal_is_final => return StorageOutcome::Refused,
             Err(StoreError::Refused) => {}
-            Err(StoreError::NoAnswer) => sure = false,
+            Err(StoreError::NoAnswer) => refusal_is_final = false,
         }
-        // A store that is away may be so for seconds: the client is told at once
-        // that nobody knows, and asks again with the same name.
-        if node.now_ms() + AGAIN_MS >= until_ms || !node.accepts_jobs() {
+        // An outage of the store may last for seconds: the client learns at once that
+        // the outcome is unknown, and retries with the same job name.
+        if node.now_ms() + RETRY_MS >= until_ms || !node.accepts_jobs() {
             return StorageOutcome::Unknown;
         }
-        node.timer.sleep(AGAIN_MS).await;
+        node.timer.sleep(RETRY_MS).await;
     }
 }
 
-fn forwarded(answer: Option<PeerBody>) -> StorageOutcome {
+/// The outcome that a peer answered.
+fn forwarded_outcome(answer: Option<PeerBody>) -> StorageOutcome {
     match answer {
         Some(PeerBody::StorageOutcome(code)) => StorageOutcome::of_code(code),
         _ => StorageOutcome::Unknown,
     }
 }
 
-/// Tells the owner of a stored job; it also follows the store, so a lost
-/// message costs only time.
+/// Tells the owner of a stored job. The owner also watches the store, so a lost message
+/// costs only time.
 pub fn tell_owner_of_job(node: &Rc<Node>, job: JobId, record: Bytes) {
     if node.owns() {
         match decode_job_record(&record) {
-            Ok(record) => take_job(node, job, record),
-            // Whoever follows the store tells of it.
+            Ok(record) => send_job_input(node, job, record),
+            // The watch of the store reports the invalid record.
             Err(_) => {
                 node.note_unreadable(job);
                 node.control
@@ -198,7 +202,7 @@
     actix_rt::spawn(async move {
         if node
             .peers
-            .ask(owner.address, body, OWNER_LIMIT_MS)
+            .ask(owner.address, body, OWNER_TIMEOUT_MS)
             .await
             .is_none()
         {
@@ -208,7 +212,8 @@
     });
 }
 
-/// Cancels a job: stores that, here or through a peer, and tells the owner.
+/// Cancels a job: stores the cancellation, from here or through a peer, and tells the
+/// owner.
 pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
     let mut stored = match node.accepts_jobs() {
         true => store_cancellation(node, job, until_ms).await,
@@ -219,7 +224,7 @@
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "cancel").increment(1);
         let body = PeerBody::Cancel(job.0);
-        stored = forwarded(node.peers.ask(peer, body, FORWARD_LIMIT_MS).await);
+        stored = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if stored == StorageOutcome::Done {
         tell_owner_of_cancellation(node, job);
     }
@@ -236,19 +241,19 @@
     }
 }
 
-/// Stores a cancellation in the store.
+/// Writes a job's cancellation to the store.
 pub async fn store_cancellation(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
     loop {
         let outcome = node.call_store(try_cancellation(node, job)).await;
         match outcome {
             Ok(stored) => return stored,
-            // Cancelling again does no harm, so a refusal may be told as one.
+            // Cancelling twice does no harm, so a refusal is always final.
             Err(StoreError::Refused) => return StorageOutcome::Refused,
-            Err(StoreError::NoAnswer) if node.now_ms() + AGAIN_MS >= until_ms => {
+            Err(StoreError::NoAnswer) if node.now_ms() + RETRY_MS >= until_ms => {
                 return StorageOutcome::Unknown;
             }
             Err(StoreError::NoAnswer) => {
-                node.timer.sleep(AGAIN_MS).await;
+                node.timer.sleep(RETRY_MS).await;
             }
         }
     }
@@ -265,22 +270,23 @@
     };
     match node.store.commit(&transaction).await? {
         CommitResult::Done { .. } => Ok(StorageOutcome::Done),
-        // The job was forgotten in between.
+        // The job was deleted in between.
         CommitResult::Conflict(_) | CommitResult::LeaseOver => Ok(StorageOutcome::NoSuchJob),
     }
 }
 
-/// What a caller may be told of a job; the outer `None` when nobody can say.
+/// Returns the status of a job: `Some(None)` if there is no such job, `None` if neither
+/// the owner nor the store answers.
 pub async fn job_status(node: &Rc<Node>, job: JobId, until_ms: u64) -> Option<Option<JobStatus>> {
     let wait_until_ms = until_ms.min(node.now_ms() + OWNER_WAIT_MS);
     loop {
         match ask_owner(node, job).await {
-            Some(Some(view)) => return Some(Some(view)),
-            // The owner may not have heard of it yet.
+            Some(Some(status)) => return Some(Some(status)),
+            // The owner may not know the job yet.
             Some(None) => break,
-            None if node.now_ms() + OWNER_AGAIN_MS >= wait_until_ms => break,
+            None if node.now_ms() + OWNER_RETRY_MS >= wait_until_ms => break,
             None => {
-                node.timer.sleep(OWNER_AGAIN_MS).await;
+                node.timer.sleep(OWNER_RETRY_MS).await;
             }
         }
     }
@@ -292,21 +298,24 @@
         return node.control.job_status(job).await;
     }
     let owner = node.owner()?;
-    let answer = node
-        .peers
-        .ask(owner.address, PeerBody::JobStatusOf(job.0), OWNER_LIMIT_MS);
+    let answer = node.peers.ask(
+        owner.address,
+        PeerBody::JobStatusOf(job.0),
+        OWNER_TIMEOUT_MS,
+    );
     match answer.await? {
         PeerBody::JobStatus(code) => Some(status_of(code)),
         _ => None,
     }
 }
 
-/// What the store tells of a job; ends are stored before they are shown.
+/// Derives a job's status from its stored values. The end of a job is stored before the
+/// owner shows it, so the store knows every end that a client has seen.
 async fn status_in_store(node: &Rc<Node>, job: JobId) -> Result<Option<JobStatus>, StoreError> {
     use crate::scheduler::FinalState;
-    // The job is read last: all its values are removed together, so a job that
-    // is still there had its progress and its cancellation before. Read first,
-    // it could be told to the owner as new after it was done and removed.
+    // The job is read last. All its values are removed together, so if it still exists,
+    // its progress and cancellation existed when they were read. Read first, a job that
+    // is completed and deleted meanwhile could be sent to the owner as a new one.
     let key = progress_key(job);
     let progress = node.store.get(&key).await?;
     let progress = progress
@@ -318,48 +327,50 @@
     if cancelled {
         return Ok(Some(JobStatus::Cancelled));
     }
-    let view = match progress.map(|progress| progress.and_then(|progress| progress.ended)) {
+    let status = match progress.map(|progress| progress.and_then(|progress| progress.ended)) {
         Some(Some(FinalState::Completed)) => JobStatus::Completed,
         Some(Some(FinalState::Failed)) => JobStatus::Failed,
-        // Also if it does not read: something of the job has begun, and whether
+        // Also if the progress cannot be decoded: then the job has begun, and whether
         // it ended is not known.
         Some(None) => JobStatus::Running,
         None => JobStatus::Queued,
     };
-    if view == JobStatus::Queued {
+    if status == JobStatus::Queued {
         tell_owner_of_job(node, job, item.value);
     }
-    Ok(Some(view))
+    Ok(Some(status))
 }
 
-/// How many accepted jobs of a queue wait; `None` when nobody can say.
+/// Returns how many accepted jobs of a queue are pending, or `None` if no owner answers.
 pub async fn pending(node: &Rc<Node>, queue: &str, until_ms: u64) -> Option<u64> {
     loop {
         let answer = if node.owns() {
             node.control.pending(queue).await
         } else if let Some(owner) = node.owner() {
             let body = PeerBody::PendingCountOf(queue.to_owned());
-            match node.peers.ask(owner.address, body, OWNER_LIMIT_MS).await {
+            match node.peers.ask(owner.address, body, OWNER_TIMEOUT_MS).await {
                 Some(PeerBody::PendingCount(pending)) => Some(pending),
                 _ => None,
             }
         } else {
             None
         };
-        if answer.is_some() || node.now_ms() + OWNER_AGAIN_MS >= until_ms {
+        if answer.is_some() || node.now_ms() + OWNER_RETRY_MS >= until_ms {
             return answer;
         }
-        node.timer.sleep(OWNER_AGAIN_MS).await;
+        node.timer.sleep(OWNER_RETRY_MS).await;
     }
 }
 
-/// Answers a peer's question.
+/// Answers a request of a peer.
 pub async fn answer(node: Rc<Node>, body: PeerBody) -> Option<PeerBody> {
-    let until_ms = node.now_ms() + FORWARD_LIMIT_MS;
+    let until_ms = node.now_ms() + FORWARD_TIMEOUT_MS;
     match body {
         PeerBody::JobStatusOf(job) => {
-            let view = node.control.job_status(JobId(job)).await?;
-            Some(PeerBody::JobStatus(super::peer_connections::code_of(view)))
+            let status = node.control.job_status(JobId(job)).await?;
+            Some(PeerBody::JobStatus(super::peer_connections::code_of(
+                status,
+            )))
         }
         PeerBody::PendingCountOf(queue) => node
             .control
@@ -405,7 +416,7 @@
         | PeerBody::PendingCount(_)
         | PeerBody::StorageOutcome(_)
         | PeerBody::Configuration(_) => {
-            log::debug!("an answer came as a question; the key {ROOT_KEY} tells who owns");
+            log::debug!("a peer sent an answer as a request; the key {ROOT_KEY} names the owner");
             None
         }
     }
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -1,9 +1,9 @@
-//! Reading again jobs of which a stored value did not read.
+//! Rereads jobs with a stored value that cannot be decoded, until somebody has repaired
+//! the value.
 //!
-//! Nothing of them starts meanwhile. A value that somebody mends is found here,
-//! together with the job's other value: told alone, a record that reads again
-//! would make a job without its progress. A job whose record somebody removed is
-//! taken for cancelled.
+//! No task of such a job starts meanwhile. The job's record and progress are sent to the
+//! scheduler together: a repaired record alone would make a job without its progress.
+//! A job whose record was removed counts as cancelled.
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
@@ -19,28 +19,28 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Time between two rounds: people mend such values, in minutes.
-const AGAIN_MS: u64 = 3_000;
-/// Jobs read in a round, each with two calls: at most a hundredth of what the
-/// store takes.
-const MOST_A_ROUND: usize = 16;
+/// Time between two rounds. People repair such values, which takes minutes.
+const ROUND_INTERVAL_MS: u64 = 3_000;
+/// Jobs read in a round, each with two calls: at most a hundredth of what the store
+/// handles.
+const MAX_JOBS_PER_ROUND: usize = 16;
 
-/// Reads them again and again, for as long as this daemon owns under `epoch`.
+/// Rereads unreadable jobs for as long as this daemon owns under `epoch`.
 pub async fn read_again(node: Rc<Node>, epoch: u64) {
     let mut from = JobId(0);
     loop {
-        node.timer.sleep(AGAIN_MS).await;
+        node.timer.sleep(ROUND_INTERVAL_MS).await;
         if node.epoch() != epoch {
             return;
         }
-        let jobs = node.unreadable_jobs(from, MOST_A_ROUND);
+        let jobs = node.unreadable_jobs(from, MAX_JOBS_PER_ROUND);
         from = match jobs.last() {
-            Some(last) if jobs.len() == MOST_A_ROUND => JobId(last.0.saturating_add(1)),
+            Some(last) if jobs.len() == MAX_JOBS_PER_ROUND => JobId(last.0.saturating_add(1)),
             _ => JobId(0),
         };
         for job in jobs {
-            // A store that does not answer is asked again in the next round.
-            match read(&node, job).await {
+            // A job that the store does not answer for is read again in the next round.
+            match read_job(&node, job).await {
                 Ok(Some(input)) if node.epoch() == epoch => {
                     node.job_readable(job);
                     node.control.send_input(epoch, input);
@@ -51,14 +51,14 @@
     }
 }
 
-/// The job as news, if both its values read or it is gone.
-async fn read(node: &Node, job: JobId) -> Result<Option<Input>, StoreError> {
+/// Returns the input for a job, or `None` if one of its values still cannot be decoded.
+async fn read_job(node: &Node, job: JobId) -> Result<Option<Input>, StoreError> {
     let progress = node.store.get(&progress_key(job)).await?;
     let Some(item) = node.store.get(&job_key(job)).await? else {
         return Ok(Some(Input::JobCancelled(job)));
     };
     let record = node.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
-    let noted = match progress {
+    let decoded_progress = match progress {
         None => Some(None),
         Some(item) => {
             node.pending_writes.note_revision(&item.key, item.revision);
@@ -67,7 +67,7 @@
                 .map(Some)
         }
     };
-    let (Some(record), Some(progress)) = (record, noted) else {
+    let (Some(record), Some(progress)) = (record, decoded_progress) else {
         return Ok(None);
     };
     Ok(Some(Input::JobReadable {
