--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -40,8 +40,8 @@
 const MAX_RUN: u64 = 1 << 52;
 
 /// After this time a superseded owner gives no more leases, and every lease it gave has
-/// expired. Both take 13.3 s at most; this is four times as long, since the clocks of
-/// daemons differ.
+/// expired. The two together take 13.3 s; this is four times as long, since the
+/// clocks of daemons differ.
 const EARLIER_OWNER_MS: u64 = 60_000;
 
 /// The value of the root.
--- a/tests/foreign/decoder.rs
+++ b/tests/foreign/decoder.rs
@@ -1,4 +1,4 @@
-//! Which entries name a worker to use.
+//! Decoding of workers' entries: which are valid, and what they say.
 
 use fuchsiaslip::platform::decode_worker;
 use fuchsiaslip::scheduler::{
@@ -10,7 +10,7 @@
     json, //
 };
 
-const INCARNATION: &str = "i-7f3a91c2";
+const WORKER_NAME: &str = "i-7f3a91c2";
 
 /// An entry as workers write it.
 fn entry() -> Value {
@@ -34,20 +34,20 @@
     entry
 }
 
-fn read(entry: &Value) -> Option<WorkerInfo> {
-    read_bytes(entry.to_string().as_bytes())
+fn decode(entry: &Value) -> Option<WorkerInfo> {
+    decode_bytes(entry.to_string().as_bytes())
 }
 
-fn read_bytes(value: &[u8]) -> Option<WorkerInfo> {
-    decode_worker(INCARNATION, value).ok()
+fn decode_bytes(value: &[u8]) -> Option<WorkerInfo> {
+    decode_worker(WORKER_NAME, value).ok()
 }
 
 #[test]
-fn an_entry_as_workers_write_it_is_read() {
-    let info = read(&entry()).expect("it names a worker");
+fn an_entry_as_workers_write_it_is_decoded() {
+    let info = decode(&entry()).expect("it names a worker");
 
     let expected = WorkerInfo {
-        worker_name: INCARNATION.to_owned(),
+        worker_name: WORKER_NAME.to_owned(),
         address: "10.128.0.9:8080".to_owned(),
         service: "huvo11a".to_owned(),
         data_centre: "zg-dubrava".to_owned(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_may_be_left_out_has_its_default() {
+fn optional_fields_have_defaults() {
     for field in [
         "version",
         "slots",
@@ -73,26 +73,26 @@
         "clock_ms",
         "sequence",
     ] {
-        assert!(read(&without(field)).is_some(), "without {field}");
+        assert!(decode(&without(field)).is_some(), "without {field}");
     }
     let no_accelerators = with("capacity", json!({ "cpu": 16000, "mem_mb": 32768 }));
-    assert_eq!(read(&no_accelerators), read(&entry()));
+    assert_eq!(decode(&no_accelerators), decode(&entry()));
     let more = with(
         "introduced_later",
         json!({ "by": ["a", "newer", "version"] }),
     );
-    assert_eq!(read(&more), read(&entry()));
+    assert_eq!(decode(&more), decode(&entry()));
     let address = with("address", json!("[fd00::9]:8080"));
-    assert!(read(&address).is_some(), "an address of the sixth version");
+    assert!(decode(&address).is_some(), "an IPv6 address");
 }
 
 #[test]
 fn a_draining_entry_says_how_long_its_worker_stays() {
     let mut draining = with("state", json!("draining"));
-    assert_eq!(read(&draining).and_then(|info| info.remaining_ms), None);
+    assert_eq!(decode(&draining).and_then(|info| info.remaining_ms), None);
     draining["remaining_ms"] = json!(2_000.5);
 
-    let info = read(&draining).expect("it names a worker");
+    let info = decode(&draining).expect("it names a worker");
 
     assert!(info.draining);
     assert_eq!(info.remaining_ms, Some(2_000));
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_entry_says_when_its_incarnation_started() {
-    let info = read(&with("born", json!(1_764_749_000_123_u64))).expect("it names a worker");
+    let info = decode(&with("born", json!(1_764_749_000_123_u64))).expect("it names a worker");
 
     assert_eq!(info.incarnation_start_ms, Some(1_764_749_000_123));
     for born in [
@@ -110,18 +110,18 @@
         json!("1"),
         json!(1u64 << 60),
     ] {
-        assert_eq!(read(&with("born", born.clone())), None, "{born}");
+        assert_eq!(decode(&with("born", born.clone())), None, "{born}");
     }
 }
 
 #[test]
-fn an_entry_that_lacks_a_field_names_no_worker_to_use() {
+fn an_entry_that_lacks_a_field_is_invalid() {
     for field in ["service", "address", "zone", "state", "capacity", "labels"] {
-        assert_eq!(read(&without(field)), None, "without {field}");
+        assert_eq!(decode(&without(field)), None, "without {field}");
     }
     for capacity in [json!({}), json!({ "cpu": 1000 }), json!({ "mem_mb": 1000 })] {
         assert_eq!(
-            read(&with("capacity", capacity.clone())),
+            decode(&with("capacity", capacity.clone())),
             None,
             "{capacity}"
         );
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_field_of_another_type_names_no_worker_to_use() {
+fn a_field_of_another_type_is_invalid() {
     let texts = ["service", "address", "zone", "state", "version"];
     let others = [
         json!(null),
@@ -141,7 +141,11 @@
     ];
     for field in texts {
         for value in &others {
-            assert_eq!(read(&with(field, value.clone())), None, "{field}: {value}");
+            assert_eq!(
+                decode(&with(field, value.clone())),
+                None,
+                "{field}: {value}"
+            );
         }
     }
     let not_numbers = [
@@ -156,14 +160,18 @@
     ];
     for field in ["slots", "cold_remaining_ms", "sequence", "remaining_ms"] {
         for value in &not_numbers {
-            assert_eq!(read(&with(field, value.clone())), None, "{field}: {value}");
+            assert_eq!(
+                decode(&with(field, value.clone())),
+                None,
+                "{field}: {value}"
+            );
         }
     }
     for field in ["cpu", "mem_mb", "gpu"] {
         for value in not_numbers.iter().chain(&[json!(1.5), json!(u32::MAX)]) {
             let mut entry = entry();
             entry["capacity"][field] = value.clone();
-            assert_eq!(read(&entry), None, "{field}: {value}");
+            assert_eq!(decode(&entry), None, "{field}: {value}");
         }
     }
     for value in [
@@ -172,7 +180,7 @@
         json!([16000, 32768, 0]),
         json!("all"),
     ] {
-        assert_eq!(read(&with("capacity", value.clone())), None, "{value}");
+        assert_eq!(decode(&with("capacity", value.clone())), None, "{value}");
     }
     for value in [
         json!(null),
@@ -181,24 +189,24 @@
         json!(["a", null]),
         json!({}),
     ] {
-        assert_eq!(read(&with("labels", value.clone())), None, "{value}");
+        assert_eq!(decode(&with("labels", value.clone())), None, "{value}");
     }
 }
 
 #[test]
-fn a_state_or_service_that_is_not_named_names_no_worker_to_use() {
+fn an_unknown_state_or_a_malformed_text_is_invalid() {
     for state in ["", "Ready", "READY", " ready", "ready ", "down", "failing"] {
-        assert_eq!(read(&with("state", json!(state))), None, "{state:?}");
+        assert_eq!(decode(&with("state", json!(state))), None, "{state:?}");
     }
     for text in ["", " ", "a\u{0}b", "a\nb"] {
-        assert_eq!(read(&with("service", json!(text))), None, "{text:?}");
-        assert_eq!(read(&with("zone", json!(text))), None, "{text:?}");
+        assert_eq!(decode(&with("service", json!(text))), None, "{text:?}");
+        assert_eq!(decode(&with("zone", json!(text))), None, "{text:?}");
     }
-    assert_eq!(read(&with("service", json!("s".repeat(5_000)))), None);
+    assert_eq!(decode(&with("service", json!("s".repeat(5_000)))), None);
 }
 
 #[test]
-fn an_address_that_cannot_be_called_names_no_worker_to_use() {
+fn an_address_that_cannot_be_called_is_invalid() {
     for address in [
         "",
         "10.128.0.9",
@@ -219,25 +227,29 @@
         "10.128.0.9:8080\r\nHost: x",
         "10.128.0.9:8080,10.128.0.10:8080",
     ] {
-        assert_eq!(read(&with("address", json!(address))), None, "{address:?}");
+        assert_eq!(
+            decode(&with("address", json!(address))),
+            None,
+            "{address:?}"
+        );
     }
 }
 
 #[test]
-fn bytes_that_are_no_entry_name_no_worker_to_use() {
+fn bytes_that_are_no_entry_are_invalid() {
     let text = entry().to_string();
     for end in 0..text.len() {
-        assert_eq!(read_bytes(&text.as_bytes()[..end]), None, "cut at {end}");
+        assert_eq!(decode_bytes(&text.as_bytes()[..end]), None, "cut at {end}");
     }
     let mut not_text = text.clone().into_bytes();
     let at = text.find("r1-3").expect("a label");
     not_text[at] = 0xff;
-    assert_eq!(read_bytes(&not_text), None);
-    // The same in a field that nobody reads.
-    let not_read = text.replace("{\"address\"", "{\"x\":\"?\",\"address\"");
-    let mut not_text = not_read.clone().into_bytes();
-    not_text[not_read.find('?').expect("the mark")] = 0xff;
-    assert_eq!(read_bytes(&not_text), None);
+    assert_eq!(decode_bytes(&not_text), None);
+    // The same in a field that is ignored.
+    let with_ignored = text.replace("{\"address\"", "{\"x\":\"?\",\"address\"");
+    let mut not_text = with_ignored.clone().into_bytes();
+    not_text[with_ignored.find('?').expect("the mark")] = 0xff;
+    assert_eq!(decode_bytes(&not_text), None);
     for value in [
         "",
         " ",
@@ -250,17 +262,17 @@
         "\u{feff}{}",
         "[\"huvo11a\",\"10.128.0.9:8080\",\"zg-dubrava\",\"ready\",{\"cpu\":1,\"mem_mb\":1},[\"a\"]]",
     ] {
-        assert_eq!(read_bytes(value.as_bytes()), None, "{value}");
+        assert_eq!(decode_bytes(value.as_bytes()), None, "{value}");
     }
-    assert_eq!(read_bytes(format!("{text}{text}").as_bytes()), None);
+    assert_eq!(decode_bytes(format!("{text}{text}").as_bytes()), None);
     for spelling in ["NaN", "nan", "Infinity", "-Infinity", "1e999", "0x10", "08"] {
         let entry = text.replace("\"slots\":8", &format!("\"slots\":{spelling}"));
-        assert_eq!(read_bytes(entry.as_bytes()), None, "{spelling}");
+        assert_eq!(decode_bytes(entry.as_bytes()), None, "{spelling}");
     }
 }
 
 #[test]
-fn a_field_that_stands_twice_names_no_worker_to_use() {
+fn an_entry_with_a_duplicate_field_is_invalid() {
     let text = entry().to_string();
     for again in [
         "\"state\":\"ready\"",
@@ -269,30 +281,34 @@
         "\"capacity\":{\"cpu\":16000,\"mem_mb\":32768,\"gpu\":0}",
     ] {
         let twice = format!("{{{again},{}", &text[1..]);
-        assert_eq!(read_bytes(twice.as_bytes()), None, "{again}");
+        assert_eq!(decode_bytes(twice.as_bytes()), None, "{again}");
     }
     let twice = text.replace("\"cpu\":16000", "\"cpu\":16000,\"cpu\":64000");
-    assert_eq!(read_bytes(twice.as_bytes()), None);
+    assert_eq!(decode_bytes(twice.as_bytes()), None);
 }
 
 #[test]
-fn an_entry_nested_too_deep_or_too_long_names_no_worker_to_use() {
+fn an_entry_that_is_nested_too_deep_or_too_long_is_invalid() {
     for depth in [40, 200, 100_000] {
         let nested = format!("{}{}", "[".repeat(depth), "]".repeat(depth));
         for field in ["labels", "introduced_later"] {
             let text = without("labels").to_string();
             let text = format!("{{\"{field}\":{nested},{}", &text[1..]);
-            assert_eq!(read_bytes(text.as_bytes()), None, "{field}, {depth} deep");
+            assert_eq!(decode_bytes(text.as_bytes()), None, "{field}, {depth} deep");
         }
     }
     let long = with("introduced_later", json!("x".repeat(1 << 20)));
-    assert_eq!(read(&long), None);
+    assert_eq!(decode(&long), None);
     let brackets = with("introduced_later", json!("[{\"\\".repeat(500)));
-    assert_eq!(read(&brackets), read(&entry()), "a text is not nested");
+    assert_eq!(
+        decode(&brackets),
+        decode(&entry()),
+        "brackets in a string do not nest"
+    );
 }
 
 #[test]
-fn a_name_that_cannot_be_used_names_no_worker_to_use() {
+fn an_entry_under_an_invalid_name_is_invalid() {
     let value = entry().to_string();
     for name in [
         "",
@@ -309,13 +325,13 @@
         "a?b",
         "a\"b",
     ] {
-        let read = decode_worker(name, value.as_bytes());
-        assert!(read.is_err(), "{name:?}");
+        let decoded = decode_worker(name, value.as_bytes());
+        assert!(decoded.is_err(), "{name:?}");
     }
     let long = "a".repeat(193);
     assert!(decode_worker(&long, value.as_bytes()).is_err());
     for name in ["i-7f3a91c2", "w0", "w0-3", "A.b_c:9~d@e"] {
-        let read = decode_worker(name, value.as_bytes());
-        assert!(read.is_ok(), "{name}");
+        let decoded = decode_worker(name, value.as_bytes());
+        assert!(decoded.is_ok(), "{name}");
     }
 }
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -1,4 +1,4 @@
-//! Drawn and mutated entries, on the decoder and on a fleet.
+//! Randomly generated and damaged entries, on the decoder and on a fleet.
 
 use super::fleet::{
     Fleet,
@@ -45,17 +45,18 @@
     "",
 ];
 
-fn number_of(name: &str, usual: u64) -> u64 {
+/// A number from the environment variable `name`, or `default` if that is not set.
+fn number_from_env(name: &str, default: u64) -> u64 {
     let given = std::env::var(name).ok();
-    given.map_or(usual, |text| text.parse().expect("a number"))
+    given.map_or(default, |text| text.parse().expect("a number"))
 }
 
 fn config(cases: u64) -> ProptestConfig {
-    let cases = number_of("FOREIGN_CASES", cases);
+    let cases = number_from_env("FOREIGN_CASES", cases);
     ProptestConfig {
         cases: u32::try_from(cases).expect("a number of cases"),
         failure_persistence: None,
-        rng_seed: prop::test_runner::RngSeed::Fixed(number_of("FOREIGN_SEED", SEED)),
+        rng_seed: prop::test_runner::RngSeed::Fixed(number_from_env("FOREIGN_SEED", SEED)),
         ..ProptestConfig::default()
     }
 }
@@ -67,7 +68,7 @@
         "clock_ms": 1, "sequence": 1 })
 }
 
-fn drawn_text() -> impl Strategy<Value = String> {
+fn random_text() -> impl Strategy<Value = String> {
     prop_oneof![
         any::<String>(),
         "[0-9.:a-f]{0,24}",
@@ -78,7 +79,7 @@
     ]
 }
 
-fn drawn_value() -> impl Strategy<Value = Value> {
+fn random_value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -86,7 +87,7 @@
         any::<u64>().prop_map(Value::from),
         any::<u16>().prop_map(Value::from),
         any::<f64>().prop_map(Value::from),
-        drawn_text().prop_map(Value::from),
+        random_text().prop_map(Value::from),
     ];
     leaf.prop_recursive(4, 24, 6, |inner| {
         let fields = prop::sample::select(vec!["cpu", "mem_mb", "gpu", "x"]);
@@ -101,21 +102,21 @@
 /// A change to the bytes of an entry.
 #[derive(Clone, Debug)]
 enum Damage {
-    Put(usize, u8),
+    Replace(usize, u8),
     Insert(usize, u8),
     Remove(usize),
-    Cut(usize),
-    Twice(usize, usize),
+    Truncate(usize),
+    Duplicate(usize, usize),
 }
 
 fn damage() -> impl Strategy<Value = Damage> {
     let at = 0..400usize;
     prop_oneof![
-        (at.clone(), any::<u8>()).prop_map(|(at, byte)| Damage::Put(at, byte)),
+        (at.clone(), any::<u8>()).prop_map(|(at, byte)| Damage::Replace(at, byte)),
         (at.clone(), any::<u8>()).prop_map(|(at, byte)| Damage::Insert(at, byte)),
         at.clone().prop_map(Damage::Remove),
-        at.clone().prop_map(Damage::Cut),
-        (at.clone(), at).prop_map(|(from, to)| Damage::Twice(from, to)),
+        at.clone().prop_map(Damage::Truncate),
+        (at.clone(), at).prop_map(|(from, to)| Damage::Duplicate(from, to)),
     ]
 }
 
@@ -123,11 +124,11 @@
     for damage in damages {
         let length = bytes.len();
         match *damage {
-            Damage::Put(at, byte) if at < length => bytes[at] = byte,
+            Damage::Replace(at, byte) if at < length => bytes[at] = byte,
             Damage::Insert(at, byte) if at < length => bytes.insert(at, byte),
             Damage::Remove(at) if at < length => drop(bytes.remove(at)),
-            Damage::Cut(at) => bytes.truncate(at),
-            Damage::Twice(from, to) if from < to && to < length => {
+            Damage::Truncate(at) => bytes.truncate(at),
+            Damage::Duplicate(from, to) if from < to && to < length => {
                 let part = bytes[from..to].to_vec();
                 bytes.splice(from..from, part);
             }
@@ -137,25 +138,25 @@
     bytes
 }
 
-/// The bytes of an entry: some good, some with a drawn field, some damaged, some
-/// drawn anew.
-fn drawn_bytes() -> impl Strategy<Value = Vec<u8>> {
+/// The bytes of an entry: some valid, some with a random field, some damaged, some
+/// entirely random.
+fn random_bytes() -> impl Strategy<Value = Vec<u8>> {
     let field = prop::sample::select(FIELDS.to_vec());
-    let one_field = (field.clone(), drawn_value()).prop_map(|(field, value)| {
+    let one_field = (field.clone(), random_value()).prop_map(|(field, value)| {
         let mut entry = entry(0);
         entry[field] = value;
         entry.to_string().into_bytes()
     });
     let capacity = (
         prop::sample::select(vec!["cpu", "mem_mb", "gpu"]),
-        drawn_value(),
+        random_value(),
     );
-    let one_part = capacity.prop_map(|(part, value)| {
+    let one_resource = capacity.prop_map(|(part, value)| {
         let mut entry = entry(0);
         entry["capacity"][part] = value;
         entry.to_string().into_bytes()
     });
-    let lacking = field.prop_map(|field| {
+    let without_field = field.prop_map(|field| {
         let mut entry = entry(0);
         entry.as_object_mut().expect("an object").remove(field);
         entry.to_string().into_bytes()
@@ -164,15 +165,15 @@
     let damaged = damages.prop_map(|damages| damaged(entry(0).to_string().into_bytes(), &damages));
     prop_oneof![
         4 => one_field,
-        2 => one_part,
-        1 => lacking,
+        2 => one_resource,
+        1 => without_field,
         4 => damaged,
-        1 => drawn_value().prop_map(|value| value.to_string().into_bytes()),
+        1 => random_value().prop_map(|value| value.to_string().into_bytes()),
         1 => prop::collection::vec(any::<u8>(), 0..300),
     ]
 }
 
-/// What the scheduler and the calls rely on.
+/// Asserts what the scheduler and the calls to workers rely on.
 fn assert_usable(info: &WorkerInfo) {
     let address: SocketAddr = info.address.parse().expect("an address");
     assert!(address.port() > 0 && !address.ip().is_unspecified());
@@ -197,7 +198,7 @@
     format!("w{at}")
 }
 
-/// What stands in the store under a worker's name.
+/// The value in the store under a worker's name.
 #[derive(Clone, Debug)]
 enum Entry {
     Good,
@@ -218,60 +219,63 @@
         gang: bool,
     },
     End(usize, EndKind),
-    /// The worker does not answer for less than its lease.
-    Silence(usize),
-    /// Another owner takes over; the values of some jobs do not read for it.
+    /// The worker does not answer for a time shorter than its lease.
+    StopAnswering(usize),
+    /// Another owner takes over, which cannot decode the values of some jobs.
     NewOwner {
-        unread: u16,
-        roster_reads: bool,
+        unreadable: u16,
+        roster_readable: bool,
     },
-    /// Somebody mends what does not read.
-    Mend,
+    /// Somebody repairs the unreadable values.
+    Repair,
     Advance(u16),
 }
 
-fn drawn_entry() -> impl Strategy<Value = Entry> {
+fn random_entry() -> impl Strategy<Value = Entry> {
     prop_oneof![
         3 => Just(Entry::Good),
         1 => Just(Entry::Draining),
         1 => Just(Entry::OtherService),
         2 => (0..WORKERS).prop_map(Entry::AddressOf),
-        4 => drawn_bytes().prop_map(Entry::Bytes),
+        4 => random_bytes().prop_map(Entry::Bytes),
     ]
 }
 
-fn drawn_step() -> impl Strategy<Value = Step> {
+fn random_step() -> impl Strategy<Value = Step> {
     let kind = prop_oneof![
         4 => Just(EndKind::Done),
         1 => Just(EndKind::Failed),
         1 => Just(EndKind::Stopped),
     ];
     prop_oneof![
-        6 => (0..WORKERS, drawn_entry()).prop_map(|(at, entry)| Step::Write(at, entry)),
-        1 => drawn_bytes().prop_map(Step::WriteStray),
+        6 => (0..WORKERS, random_entry()).prop_map(|(at, entry)| Step::Write(at, entry)),
+        1 => random_bytes().prop_map(Step::WriteStray),
         1 => (0..WORKERS).prop_map(Step::Unlist),
         4 => (1..4u32, any::<bool>()).prop_map(|(tasks, gang)| Step::Submit { tasks, gang }),
         4 => (0..WORKERS, kind).prop_map(|(at, kind)| Step::End(at, kind)),
-        1 => (0..WORKERS).prop_map(Step::Silence),
+        1 => (0..WORKERS).prop_map(Step::StopAnswering),
         1 => (any::<u16>(), any::<bool>())
-            .prop_map(|(unread, roster_reads)| Step::NewOwner { unread, roster_reads }),
-        1 => Just(Step::Mend),
+            .prop_map(|(unreadable, roster_readable)| Step::NewOwner {
+                unreadable,
+                roster_readable,
+            }),
+        1 => Just(Step::Repair),
         6 => (1..1_500u16).prop_map(Step::Advance),
     ]
 }
 
-/// A fleet whose store has another writer.
-struct Day {
+/// A fleet whose store has another writer, with what the test knows of it.
+struct Scenario {
     fleet: Fleet,
     epoch: u64,
     jobs: Vec<(JobId, JobRecord)>,
     entries: Vec<Option<Entry>>,
-    unread: BTreeSet<JobId>,
+    unreadable: BTreeSet<JobId>,
     checked_starts: usize,
 }
 
-/// An entry as the owner is told of it.
-fn input(at: usize, entry: &Entry) -> Input {
+/// The input by which the owner learns of an entry.
+fn input_from_entry(at: usize, entry: &Entry) -> Input {
     let good = worker_info(&name(at), "r1");
     let info = match entry {
         Entry::Good => good,
@@ -288,12 +292,12 @@
             address: address_of(&name(*other)),
             ..good
         },
-        Entry::Bytes(bytes) => return decoded(&name(at), bytes),
+        Entry::Bytes(bytes) => return input_from_bytes(&name(at), bytes),
     };
     Input::WorkerRegistered(info)
 }
 
-fn decoded(worker_name: &str, bytes: &[u8]) -> Input {
+fn input_from_bytes(worker_name: &str, bytes: &[u8]) -> Input {
     match decode_worker(worker_name, bytes) {
         Ok(info) => Input::WorkerRegistered(info),
         Err(error) => Input::WorkerEntryUnusable {
@@ -303,14 +307,14 @@
     }
 }
 
-impl Day {
+impl Scenario {
     fn begin() -> Self {
         Self {
             fleet: Fleet::with_workers(WORKERS),
             epoch: 1,
             jobs: Vec::new(),
             entries: vec![Some(Entry::Good); WORKERS],
-            unread: BTreeSet::new(),
+            unreadable: BTreeSet::new(),
             checked_starts: 0,
         }
     }
@@ -320,34 +324,35 @@
         match &self.entries[at] {
             Some(Entry::Good) => true,
             Some(Entry::AddressOf(other)) => *other == at,
-            // A drawn address is no address of the fleet, and none is drained.
+            // Generated bytes name no address of the fleet, and the other entries allow
+            // no starts.
             _ => false,
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Write(at, entry) => {
-                self.fleet.tell(input(at, &entry));
+                self.fleet.tell(input_from_entry(at, &entry));
                 self.entries[at] = Some(entry);
             }
-            Step::WriteStray(bytes) => self.fleet.tell(decoded("stray name", &bytes)),
+            Step::WriteStray(bytes) => self.fleet.tell(input_from_bytes("stray name", &bytes)),
             Step::Unlist(at) => {
                 self.entries[at] = None;
                 self.fleet.tell(Input::WorkerUnlisted(name(at)));
             }
             Step::Submit { tasks, gang } => self.submit(tasks, gang),
             Step::End(at, kind) => self.end_one(at, kind),
-            Step::Silence(at) => {
+            Step::StopAnswering(at) => {
                 self.fleet.silent.push(name(at));
                 self.advance(2_000);
                 self.fleet.silent.clear();
             }
             Step::NewOwner {
-                unread,
-                roster_reads,
-            } => self.change_owner(unread, roster_reads),
-            Step::Mend => self.mend_jobs(),
+                unreadable,
+                roster_readable,
+            } => self.change_owner(unreadable, roster_readable),
+            Step::Repair => self.repair_jobs(),
             Step::Advance(by_ms) => self.advance(by_ms.into()),
         }
         self.check();
@@ -384,7 +389,7 @@
     }
 
     fn end_members(&mut self, run: RunName, kind: EndKind) {
-        let others = match kind {
+        let member_kind = match kind {
             EndKind::Done => EndKind::Done,
             _ => EndKind::GangEnded,
         };
@@ -394,27 +399,27 @@
                 .into_iter()
                 .filter(|name| (name.task.job, name.run) == (run.task.job, run.run));
             for member in members {
-                worker.end(member, others);
+                worker.end(member, member_kind);
             }
         }
     }
 
-    fn change_owner(&mut self, unread: u16, roster_reads: bool) {
+    fn change_owner(&mut self, unreadable: u16, roster_readable: bool) {
         self.epoch += 1;
         let (before, jobs) = (&self.fleet, &self.jobs);
-        // Which values do not read stays as it is until somebody mends them.
+        // Unreadable values stay unreadable until somebody repairs them.
         for (at, (id, _)) in jobs.iter().enumerate() {
-            if unread >> at & 1 == 1 {
-                self.unread.insert(*id);
+            if unreadable >> at & 1 == 1 {
+                self.unreadable.insert(*id);
             }
         }
-        let (entries, unread) = (&self.entries, &self.unread);
+        let (entries, unreadable) = (&self.entries, &self.unreadable);
         let mut next = before.next_owner_told(self.epoch, false, |next| {
-            if !roster_reads {
+            if !roster_readable {
                 next.tell(Input::RosterUnreadable);
             }
             for (at, entry) in entries.iter().enumerate() {
-                if roster_reads {
+                if roster_readable {
                     next.tell(Input::RosterWorker {
                         worker_name: name(at),
                         address: address_of(&name(at)),
@@ -427,16 +432,16 @@
                     });
                 }
                 if let Some(entry) = entry {
-                    next.tell(input(at, entry));
+                    next.tell(input_from_entry(at, entry));
                 }
             }
             for (id, record) in jobs {
-                next.tell(match unread.contains(id) {
+                next.tell(match unreadable.contains(id) {
                     true => Input::JobUnreadable(*id),
                     false => Input::JobStored {
                         id: *id,
                         record: Arc::new(record.clone()),
-                        progress: before.stored.get(id).map(|(_, noted)| noted.clone()),
+                        progress: before.stored.get(id).map(|(_, progress)| progress.clone()),
                     },
                 });
             }
@@ -445,11 +450,11 @@
         self.fleet = next;
     }
 
-    fn mend_jobs(&mut self) {
-        for id in std::mem::take(&mut self.unread) {
+    fn repair_jobs(&mut self) {
+        for id in std::mem::take(&mut self.unreadable) {
             let (_, record) = self.jobs.iter().find(|(own, _)| *own == id).expect("a job");
-            let noted = self.fleet.stored.get(&id);
-            let progress = noted.map(|(_, noted)| noted.clone());
+            let stored = self.fleet.stored.get(&id);
+            let progress = stored.map(|(_, progress)| progress.clone());
             self.fleet.tell(Input::JobReadable {
                 id,
                 record: Arc::new(record.clone()),
@@ -458,7 +463,7 @@
         }
     }
 
-    /// Lets time pass in which runs make headway and leases lapse.
+    /// Lets time pass in which runs make progress and leases expire.
     fn advance(&mut self, by_ms: u64) {
         const PIECE_MS: u64 = 100;
         let mut left_ms = by_ms;
@@ -487,7 +492,7 @@
         for (worker, run) in &running {
             assert!(
                 tasks.insert(run.task),
-                "twice: {worker} {run:?} {running:?}"
+                "runs twice: {worker} {run:?} {running:?}"
             );
         }
         for at in self.checked_starts..self.fleet.starts.len() {
@@ -499,18 +504,21 @@
                 "{run:?} on {worker}: {:?}",
                 self.entries
             );
-            assert!(!self.unread.contains(&run.task.job), "{run:?} is unread");
+            assert!(
+                !self.unreadable.contains(&run.task.job),
+                "{run:?} is of an unreadable job"
+            );
         }
         self.checked_starts = self.fleet.starts.len();
     }
 
-    /// Mends everything; then every job comes to its end.
+    /// Repairs all values, and asserts that every job then ends.
     fn finish(&mut self) {
         const ROUNDS: u32 = 90;
-        self.mend_jobs();
+        self.repair_jobs();
         for at in 0..WORKERS {
             self.entries[at] = Some(Entry::Good);
-            self.fleet.tell(input(at, &Entry::Good));
+            self.fleet.tell(input_from_entry(at, &Entry::Good));
         }
         let mut left = Vec::new();
         for _ in 0..ROUNDS {
@@ -518,28 +526,28 @@
             for at in 0..WORKERS {
                 self.end_one(at, EndKind::Done);
             }
-            let over = |id: &JobId| {
-                let view = self.fleet.scheduler.job_status(*id);
-                matches!(view, Some(JobStatus::Completed | JobStatus::Failed))
+            let has_ended = |id: &JobId| {
+                let status = self.fleet.scheduler.job_status(*id);
+                matches!(status, Some(JobStatus::Completed | JobStatus::Failed))
             };
             let open = self.jobs.iter().map(|(id, _)| *id);
-            left = open.filter(|id| !over(id)).collect();
+            left = open.filter(|id| !has_ended(id)).collect();
             if left.is_empty() {
                 return;
             }
         }
-        panic!("not over: {left:?}");
+        panic!("not ended: {left:?}");
     }
 }
 
 proptest! {
     #![proptest_config(config(4_000))]
 
-    /// Whatever bytes stand there, they name a worker that can be used or none.
+    /// Whatever its bytes, an entry names either a worker that can be used or none.
     #[test]
-    fn drawn_bytes_name_a_usable_worker_or_none(
+    fn random_bytes_name_a_usable_worker_or_none(
         worker_name in prop_oneof![3 => Just("i-1".to_owned()), 1 => any::<String>()],
-        bytes in drawn_bytes(),
+        bytes in random_bytes(),
     ) {
         if let Ok(info) = decode_worker(&worker_name, &bytes) {
             assert_usable(&info);
@@ -548,9 +556,9 @@
         }
     }
 
-    /// A field that is not known changes nothing, whatever it holds.
+    /// An unknown field changes nothing, whatever its value.
     #[test]
-    fn drawn_unknown_fields_change_nothing(value in drawn_value()) {
+    fn random_unknown_fields_change_nothing(value in random_value()) {
         let mut more = entry(0);
         more["introduced_later"] = value;
 
@@ -563,14 +571,16 @@
 proptest! {
     #![proptest_config(config(150))]
 
-    /// Nothing runs twice at a time, nothing starts where no entry allows it or of
-    /// a job that does not read, and in the end every job is over.
+    /// No task runs twice at a time, none starts on a worker whose entry does not allow
+    /// it, none of an unreadable job starts, and in the end every job has ended.
     #[test]
-    fn drawn_days_lose_and_double_nothing(steps in prop::collection::vec(drawn_step(), 1..60)) {
-        let mut day = Day::begin();
+    fn random_scenarios_lose_no_job_and_run_no_task_twice(
+        steps in prop::collection::vec(random_step(), 1..60),
+    ) {
+        let mut scenario = Scenario::begin();
         for step in steps {
-            day.take(step);
+            scenario.apply(step);
         }
-        day.finish();
+        scenario.finish();
     }
 }
--- a/tests/foreign/path.rs
+++ b/tests/foreign/path.rs
@@ -1,5 +1,5 @@
-//! The whole path: real daemons beside a stand-in of the platform whose store has
-//! another writer.
+//! Invalid values on the whole path: real daemons beside a stand-in of the platform
+//! whose store has another writer.
 
 use super::daemons::{
     self,
@@ -38,10 +38,10 @@
     Instant, //
 };
 
-/// Longer than an owner needs to see an entry.
-const SEEN: Duration = Duration::from_millis(1_000);
+/// Longer than an owner needs to notice a changed value.
+const NOTICE_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Numbers of tests in addresses, beside those of other test files.
+/// First number of this file's tests in loopback addresses; other test files use others.
 const FOREIGN: u8 = 230;
 
 fn fleet(test: u8, count: u8, operator: &Operator) -> Vec<Daemon> {
@@ -58,7 +58,7 @@
     });
 }
 
-/// How often each task was started is all that a user wants to know here.
+/// Asserts that so many tasks ran, each once.
 fn assert_each_ran_once(world: &World, tasks: usize) {
     let mut names: Vec<&str> = world.records.iter().map(|record| &*record.task).collect();
     names.sort_unstable();
@@ -78,8 +78,8 @@
         "capacity": { "cpu": 32000, "mem_mb": 131072, "gpu": 8 } })
 }
 
-/// Writes entries of all sorts that name no worker to use; how many.
-fn write_bad_entries(world: &mut World, round: u64) -> usize {
+/// Writes various entries that name no worker to use, and returns their number.
+fn write_invalid_entries(world: &mut World, round: u64) -> usize {
     let good = entry("127.0.0.1:1");
     let with = |field: &str, value: Value| {
         let mut entry = good.clone();
@@ -119,29 +119,29 @@
         let key = format!("servers/{}-{round}-{at}", names[at % names.len()]);
         world.put_bytes(&key, value);
     }
-    // A good entry under a name that cannot be used, and one that is no base64.
+    // Valid entries under invalid names, and an entry that is not base64.
     world.put("servers/", &good);
     world.put("servers/a/b", &good);
     world.put_unencoded("servers/unencoded");
     values.len() + 3
 }
 
-/// Whatever another writer puts among the workers' entries, the workers beside them
-/// go on, an owner that is killed is followed, and on-call reads one line of each.
+/// Whatever another writer puts among the workers' entries, the other workers go on, a
+/// killed owner is replaced, and each invalid entry is reported once.
 #[test]
-fn bad_entries_beside_good_ones_change_nothing() {
+fn invalid_entries_do_not_affect_valid_ones() {
     let operator = Operator::spawn(3);
-    let count = write_bad_entries(&mut operator.world(), 0);
+    let count = write_invalid_entries(&mut operator.world(), 0);
     let mut daemons = fleet(0, 2, &operator);
 
     submit(&daemons[0], 1, &job(&[6], 300));
     wait_until("completed", || is_completed(&daemons[1], 1));
     // Watch events, a lost history, and a change of owner.
-    write_bad_entries(&mut operator.world(), 1);
+    write_invalid_entries(&mut operator.world(), 1);
     submit(&daemons[1], 2, &job(&[6], 300));
     wait_until("completed", || is_completed(&daemons[0], 2));
     operator.world().drop_history();
-    write_bad_entries(&mut operator.world(), 2);
+    write_invalid_entries(&mut operator.world(), 2);
     submit(&daemons[1], 3, &job(&[6], 300));
     wait_until("completed", || is_completed(&daemons[0], 3));
     for daemon in &mut daemons {
@@ -157,13 +157,14 @@
     assert_each_ran_once(&operator.world(), 24);
     let roster = operator.world().value("roster").expect("a roster");
     assert_eq!(roster.as_array().map(Vec::len), Some(3), "{roster}");
-    assert_lines_are_told_once(&daemons, count);
+    assert_reported_once(&daemons, count);
 }
 
-/// Each life of a daemon tells of a revision once.
-fn assert_lines_are_told_once(daemons: &[Daemon], count: usize) {
-    const LIVES: usize = 2;
-    let mut told = 0;
+/// Asserts that each incarnation of a daemon reports a revision at most once, and that
+/// all invalid entries are reported.
+fn assert_reported_once(daemons: &[Daemon], count: usize) {
+    const INCARNATIONS: usize = 2;
+    let mut reported = 0;
     for daemon in daemons {
         let log = std::fs::read_to_string(daemon.log()).expect("a log");
         let lines: Vec<Value> = log
@@ -171,26 +172,26 @@
             .filter_map(|line| serde_json::from_str(line).ok())
             .filter(|line: &Value| line["event"] == 205)
             .collect();
-        told += lines.len();
+        reported += lines.len();
         for line in &lines {
             let same = |other: &&Value| {
                 (&other["key"], &other["revision"]) == (&line["key"], &line["revision"])
             };
-            let again = lines.iter().filter(same).count();
-            assert!(again <= LIVES, "told {again} times: {line}");
+            let times = lines.iter().filter(same).count();
+            assert!(times <= INCARNATIONS, "reported {times} times: {line}");
             for field in ["reason", "kind", "done"] {
                 let text = line[field].as_str().unwrap_or_default();
                 assert!(!text.is_empty(), "{field} in {line}");
             }
         }
     }
-    assert!(told >= count, "{told} lines of {count} entries");
+    assert!(reported >= count, "{reported} lines of {count} entries");
 }
 
-/// A worker's entry is overwritten while a task runs there. Its owner went on
-/// giving it work by the last entry that it had been able to read.
+/// A worker's entry is overwritten while a task runs there. The owner went on giving the
+/// worker tasks from the last entry that it had been able to decode.
 #[test]
-fn a_worker_whose_entry_is_overwritten_keeps_its_work_and_gets_none() {
+fn a_worker_whose_entry_is_overwritten_keeps_its_run_and_gets_no_new_ones() {
     let operator = Operator::spawn(2);
     let daemons = fleet(1, 2, &operator);
     submit(&daemons[0], 1, &job(&[1], 9_000));
@@ -199,25 +200,25 @@
     let key = operator.world().worker_key(worker);
 
     operator.world().put_bytes(&key, b"{\"state\":\"ready\"");
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     submit(&daemons[0], 2, &job(&[12], 100));
     wait_until("completed", || is_completed(&daemons[1], 2));
 
     assert_eq!(starts_on(&operator.world(), worker), 1, "no new work there");
     wait_until("completed", || is_completed(&daemons[1], 1));
     operator.world().register(worker, "ready");
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     submit(&daemons[0], 3, &job(&[16], 300));
     wait_until("completed", || is_completed(&daemons[1], 3));
     assert!(starts_on(&operator.world(), worker) > 1, "it serves again");
     assert_each_ran_once(&operator.world(), 29);
 }
 
-/// A worker's entry is overwritten with the address of another one, which says that
-/// it is not the one that was meant; the owner took the first for replaced, and its
-/// task ran a second time beside the first.
+/// A worker's entry is overwritten with the address of another worker, which answers that
+/// it is not the one addressed. The owner concluded that the first worker was replaced,
+/// and started its task a second time while the first run went on.
 #[test]
-fn a_worker_whose_entry_has_the_address_of_another_is_not_over() {
+fn a_worker_whose_entry_has_the_address_of_another_is_not_replaced() {
     let operator = Operator::spawn(2);
     let mut daemons = fleet(2, 2, &operator);
     submit(&daemons[0], 1, &job(&[1], 9_000));
@@ -228,7 +229,7 @@
     let key = operator.world().worker_key(worker);
 
     operator.world().put(&key, &theirs);
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     // The next owner reads the roster and the overwritten entry.
     for daemon in &mut daemons {
         daemon.kill();
@@ -239,17 +240,17 @@
     assert_each_ran_once(&operator.world(), 1);
 }
 
-/// A daemon of another version takes over and cannot read what is noted of a job.
-/// It began the job anew, though half of it was done.
+/// A daemon of another version takes over and cannot decode the progress of a job. It
+/// started the job from the beginning, though half of it was completed.
 #[test]
-fn a_job_whose_progress_does_not_read_is_neither_begun_anew_nor_shown_over() {
+fn a_job_with_unreadable_progress_is_neither_restarted_nor_shown_as_ended() {
     let operator = Operator::spawn(2);
     let mut daemons = fleet(3, 2, &operator);
     let key = format!("progress/{:016x}", 1);
     submit(&daemons[0], 1, &job(&[2, 2], 2_500));
     wait_until("one step is done", || {
-        let noted = operator.world().value(&key);
-        noted.is_some_and(|noted| noted["groups"][0]["done"] == json!([3]))
+        let progress = operator.world().value(&key);
+        progress.is_some_and(|progress| progress["groups"][0]["done"] == json!([3]))
     });
     daemons.iter_mut().for_each(Daemon::kill);
     let before = operator.world().bytes(&key).expect("progress");
@@ -262,24 +263,24 @@
     });
 
     submit(&daemons[0], 2, &job(&[4], 100));
-    wait_until("the others hold", || is_completed(&daemons[1], 2));
-    // Sent again, it is the same job.
+    wait_until("another job is completed", || is_completed(&daemons[1], 2));
+    // The client submits the unreadable job again.
     submit(&daemons[0], 1, &job(&[2, 2], 2_500));
     std::thread::sleep(Duration::from_secs(8));
     assert_eq!(state(&daemons[0], 1), r#"{"state":"running"}"#);
     assert_each_ran_once(&operator.world(), 8);
-    let unread = operator.world().value(&key).expect("progress");
-    assert_eq!(unread["version"], 9, "it is not written over");
+    let unreadable = operator.world().value(&key).expect("progress");
+    assert_eq!(unreadable["version"], 9, "it is not overwritten");
     operator.world().put_bytes(&key, &before);
 
     wait_until("completed", || is_completed(&daemons[1], 1));
     assert_each_ran_once(&operator.world(), 8);
 }
 
-/// What an accepted job asks for does not read after a change of owner: it is there,
-/// nothing of it starts, and a client may still cancel it.
+/// The record of an accepted job cannot be decoded after a change of owner: the job still
+/// exists, none of its tasks starts, and a client may still cancel it.
 #[test]
-fn a_job_that_does_not_read_is_not_lost() {
+fn an_unreadable_job_is_not_lost() {
     let operator = Operator::spawn(1);
     let mut daemons = fleet(4, 1, &operator);
     submit(&daemons[0], 1, &job(&[1], 60_000));
@@ -296,9 +297,9 @@
     wait_until("ready", || daemons[0].is_ready());
 
     submit(&daemons[0], 3, &job(&[1], 100));
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     assert_eq!(state(&daemons[0], 1), r#"{"state":"queued"}"#);
-    assert_eq!(operator.world().runs_of(1), 1, "what runs goes on");
+    assert_eq!(operator.world().runs_of(1), 1, "its run goes on");
     let cancelled = daemons[0].request("DELETE", &path(2), "");
     assert_eq!(cancelled, Answer::Status(200, "{}".to_owned()));
     wait_until("stopped", || operator.world().runs_of(2) == 0);
@@ -308,14 +309,16 @@
     wait_until("running", || {
         state(&daemons[0], 1) == r#"{"state":"running"}"#
     });
-    wait_until("it has room again", || is_completed(&daemons[0], 3));
+    wait_until("a worker has capacity again", || {
+        is_completed(&daemons[0], 3)
+    });
     assert_each_ran_once(&operator.world(), 3);
 }
 
-/// The root was overwritten. The next owner began with the first epoch again, which
-/// every worker refuses, and wrote over what might have told why.
+/// The root was overwritten. The next owner started again with the first epoch, which
+/// every worker refuses, and overwrote the value that might have shown the cause.
 #[test]
-fn nobody_takes_over_while_the_root_does_not_read() {
+fn no_daemon_takes_over_while_the_root_is_unreadable() {
     let operator = Operator::spawn(1);
     let daemons = fleet(5, 2, &operator);
     submit(&daemons[0], 1, &job(&[1], 100));
@@ -331,20 +334,24 @@
         operator.world().put_bytes("owner", wrong.as_bytes());
         std::thread::sleep(Duration::from_secs(2));
         let now = operator.world().bytes("owner");
-        assert_eq!(now.as_deref(), Some(wrong.as_bytes()), "not written over");
+        assert_eq!(
+            now.as_deref(),
+            Some(wrong.as_bytes()),
+            "it is not overwritten"
+        );
     }
     submit(&daemons[0], 2, &job(&[1], 100));
-    let mended = json!({ "epoch": epoch + 1, "owner": "", "address": "", "boot": 0 });
-    operator.world().put("owner", &mended);
+    let repaired = json!({ "epoch": epoch + 1, "owner": "", "address": "", "boot": 0 });
+    operator.world().put("owner", &repaired);
 
     wait_until("completed", || is_completed(&daemons[1], 2));
     assert_each_ran_once(&operator.world(), 2);
 }
 
-/// The roster was overwritten, and a worker's entry is gone while it lives. A new
-/// owner knew nothing of the worker and started its task a second time.
+/// The roster was overwritten, and a worker's entry was removed while the worker ran on.
+/// The next owner knew nothing of the worker and started its task a second time.
 #[test]
-fn a_roster_that_does_not_read_is_not_taken_for_an_empty_one() {
+fn an_unreadable_roster_is_not_treated_as_empty() {
     let operator = Operator::spawn(2);
     let mut daemons = fleet(6, 1, &operator);
     submit(&daemons[0], 1, &job(&[1], 30_000));
@@ -356,38 +363,42 @@
     operator.world().take_away(&key);
     operator.world().put("roster", &json!({ "rows": 9 }));
     daemons[0].start();
-    wait_until("it owns", || {
+    wait_until("the daemon owns again", || {
         let root = operator.world().value("owner");
         root.is_some_and(|root| root["epoch"] == 2)
     });
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
 
     submit(&daemons[0], 2, &job(&[1], 100));
     wait_until("new work starts at once", || is_completed(&daemons[0], 2));
-    assert!(began.elapsed() < Duration::from_secs(6), "it did not wait");
-    wait_until("the longest lease is over", || {
+    assert!(
+        began.elapsed() < Duration::from_secs(6),
+        "new work did not wait"
+    );
+    wait_until("the longest lease has expired", || {
         let mut world = operator.world();
-        // A worker that nobody calls ends what has lapsed when it is looked at.
+        // The stand-in ends runs with an expired lease only when it is queried.
         world.runs_of(1);
         world.records.len() == 3
     });
 
     let world = operator.world();
-    let (first, again) = (&world.records[0], &world.records[2]);
-    assert_eq!(first.task, again.task);
+    let (first, second) = (&world.records[0], &world.records[2]);
+    assert_eq!(first.task, second.task);
     let (ended, how) = first.ended.expect("it ended");
     assert_eq!(how, "lapsed");
-    assert!(ended <= again.began, "twice at a time");
+    assert!(ended <= second.began, "the task ran twice at a time");
     drop(world);
-    wait_until("it is written anew", || {
+    wait_until("the roster is rewritten", || {
         let roster = operator.world().value("roster");
         roster.is_some_and(|roster| roster.is_array())
     });
 }
 
-/// A version that does not read was taken for news: the version before stays.
+/// An invalid version of the configuration was treated as a new one. The previous version
+/// has to stay in force, and invalid waves have no effect.
 #[test]
-fn a_configuration_or_wave_that_does_not_read_changes_nothing() {
+fn an_invalid_configuration_or_wave_changes_nothing() {
     let operator = Operator::spawn(1);
     let daemons = fleet(7, 1, &operator);
     let mut world = operator.world();
@@ -406,7 +417,7 @@
     world.put_bytes("op/config", b"{\"version\":7,\"routes\":[{}]}");
     world.put_unencoded("op/elsewhere");
     drop(world);
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
 
     submit(&daemons[0], 1, &job(&[1], 100));
     wait_until("completed", || is_completed(&daemons[0], 1));
@@ -417,18 +428,19 @@
     });
 }
 
-/// After a lost history a daemon read the configuration and watched from its old
-/// revision, whose history is gone: hundreds of calls a second, for ever.
+/// After the store had lost its history, a daemon read the configuration anew but watched
+/// from its old revision, which fails at once: it made hundreds of calls a second,
+/// without end.
 #[test]
-fn a_lost_history_is_not_asked_for_again_and_again() {
+fn a_lost_history_is_not_requested_repeatedly() {
     const WATCHES_A_SECOND: u64 = 60;
     let operator = Operator::spawn(1);
     let _daemons = fleet(8, 1, &operator);
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     operator.world().drop_history();
     operator.world().put("op/elsewhere", &json!({}));
     operator.world().drop_history();
-    std::thread::sleep(SEEN);
+    std::thread::sleep(NOTICE_DELAY);
     let before = operator.world().calls;
 
     std::thread::sleep(Duration::from_secs(2));
@@ -439,20 +451,20 @@
 
 fn with_store<T>(
     operator: &Operator,
-    ask: impl AsyncFnOnce(StoreClient) -> Result<T, StoreError>,
+    call: impl AsyncFnOnce(StoreClient) -> Result<T, StoreError>,
 ) -> T {
     let address = operator.store.to_string();
-    let asked = actix_rt::System::new().block_on(async move {
+    let result = actix_rt::System::new().block_on(async move {
         let timer = Timer::spawn().expect("a timer");
-        ask(StoreClient::open(HttpClient::open(timer), &address)).await
+        call(StoreClient::open(HttpClient::open(timer), &address)).await
     });
-    asked.expect("the store answers")
+    result.expect("the store answers")
 }
 
-/// A page that ended with a key that holds what ends a query was followed by the
-/// first page again, for ever.
+/// A page whose last key contained a character that ends a query was followed by the
+/// first page again, without end.
 #[test]
-fn every_page_is_read_whatever_its_last_key_holds() {
+fn every_page_is_read_whatever_its_last_key_contains() {
     const ITEMS: usize = 1_600;
     let operator = Operator::spawn(0);
     let odd = ["%2F", "#", "%", "+", " ", "?", "=", "ä", "\"", "&after="];
@@ -470,12 +482,12 @@
     assert_eq!(read, keys);
 }
 
-/// A watch answer longer than what is read was asked for again until the history
-/// was over, and nothing else was seen meanwhile.
+/// A watch answer longer than a daemon reads was requested again until the store dropped
+/// its history, and no other change was noticed meanwhile.
 #[test]
-fn long_entries_neither_fill_the_memory_nor_stop_a_watch() {
+fn long_entries_neither_exhaust_memory_nor_stop_a_watch() {
     const LONG: usize = 1_000_000;
-    const KEPT: usize = 70_000;
+    const MAX_READ: usize = 70_000;
     let operator = Operator::spawn(0);
     let from = with_store(&operator, async |store| store.range("servers/", true).await);
     for at in 0..8 {
@@ -488,18 +500,22 @@
     let watched = with_store(&operator, async |store| {
         store.watch("servers/", from.revision, 0).await
     });
-    assert_eq!(watched, WatchResult::HistoryGone, "read anew, page by page");
+    assert_eq!(
+        watched,
+        WatchResult::HistoryGone,
+        "the range has to be read page by page"
+    );
     let range = with_store(&operator, async |store| store.range("servers/", true).await);
     assert_eq!(range.items.len(), 9);
     let longest = range.items.iter().map(|item| item.value.len()).max();
     assert!(
-        longest.is_some_and(|longest| longest <= KEPT),
+        longest.is_some_and(|longest| longest <= MAX_READ),
         "{longest:?}"
     );
 }
 
 #[test]
-fn a_value_that_is_no_base64_leaves_the_others_of_its_page_and_event() {
+fn a_value_that_is_not_base64_does_not_affect_the_others_of_its_page_or_watch() {
     let operator = Operator::spawn(0);
     let from = with_store(&operator, async |store| store.range("servers/", true).await);
     let good = entry("127.0.0.1:1");
@@ -517,7 +533,7 @@
         store.watch("servers/", from.revision, 0).await
     });
     let WatchResult::Changes { events, .. } = watched else {
-        panic!("the history is there");
+        panic!("the store still has the history");
     };
     let put = events.into_iter().filter_map(|event| match event {
         StoreEvent::Put(item) => Some(item),
@@ -526,9 +542,9 @@
     assert_eq!(values(put.collect()), expected);
 }
 
-/// What `fuchsiaslip fleet` shows.
+/// The report that `fuchsiaslip fleet` prints.
 #[test]
-fn the_report_of_a_fleet_names_what_is_not_used() {
+fn the_fleet_report_lists_invalid_values() {
     let operator = Operator::spawn(2);
     let mut world = operator.world();
     world.configure(1, &[("q", 1)], 5);
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -1,4 +1,4 @@
-//! What follows from entries that cannot be used and records that do not read.
+//! How the scheduler treats workers with unusable entries and unreadable records.
 
 use super::fleet::{
     Fleet,
@@ -19,30 +19,31 @@
 use std::sync::Arc;
 
 /// Longer than any lease lasts.
-const LEASES_OVER_MS: u64 = 15_000;
+const LEASES_EXPIRED_MS: u64 = 15_000;
 
-fn unusable(name: &str) -> Input {
+fn unusable_entry(name: &str) -> Input {
     Input::WorkerEntryUnusable {
         worker_name: name.to_owned(),
         reason: "bad_state",
     }
 }
 
-/// Lets time pass in which everything that runs makes headway: what stands still
-/// is stopped.
+/// Lets time pass in which every run makes progress; a run without progress would be
+/// stopped.
 fn work_for(fleet: &mut Fleet, by_ms: u64) {
-    const HEADWAY_MS: u64 = 500;
-    for _ in 0..by_ms / HEADWAY_MS {
+    const PROGRESS_INTERVAL_MS: u64 = 500;
+    for _ in 0..by_ms / PROGRESS_INTERVAL_MS {
         for worker in fleet.workers.values_mut() {
             for percent in worker.running.values_mut() {
                 *percent = (*percent + 1) % 90;
             }
         }
-        fleet.advance(HEADWAY_MS);
+        fleet.advance(PROGRESS_INTERVAL_MS);
     }
 }
 
-/// Two workers, a job of one task, and where its run is.
+/// A fleet of two workers with a job of one task; the job, the worker that runs the task,
+/// and the run.
 fn with_one_run() -> (Fleet, JobId, String, RunName) {
     let mut fleet = Fleet::with_workers(2);
     let job = fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -58,29 +59,29 @@
     starts.filter(|(_, there, _)| there == worker).count()
 }
 
-/// An operator's script wrote over a worker's entry. The worker went on, and so
-/// did what ran there, but the owner gave it more work from the last entry that it
-/// had been able to read, and the worker had long been given another service.
+/// An operator's script overwrote a worker's entry. The worker and its runs went on, but
+/// the owner gave it more tasks from the last entry that it had been able to decode,
+/// although the worker had long been assigned to another service.
 #[test]
-fn a_worker_whose_entry_turns_unreadable_gets_no_new_work_and_keeps_what_runs() {
+fn a_worker_whose_entry_becomes_unreadable_keeps_its_runs_and_gets_no_new_ones() {
     let (mut fleet, first, worker, run) = with_one_run();
 
-    fleet.tell(unusable(&worker));
+    fleet.tell(unusable_entry(&worker));
     fleet.submit(2, record("plain", vec![step(8, 1)]));
     fleet.submit(3, record("plain", vec![step(4, 1)]));
-    work_for(&mut fleet, LEASES_OVER_MS);
+    work_for(&mut fleet, LEASES_EXPIRED_MS);
 
     assert_eq!(starts_on(&fleet, &worker), 1, "no new work there");
     assert!(
         fleet.running().contains(&(worker.clone(), run)),
         "it goes on"
     );
-    let lapsed = fleet.workers[&worker].has_lapsed(fleet.now_ms);
-    assert!(!lapsed, "its lease is renewed");
+    let expired = fleet.workers[&worker].has_lapsed(fleet.now_ms);
+    assert!(!expired, "its lease is renewed");
     fleet.end_all(first, EndKind::Done);
     fleet.advance(500);
     let completed = fleet.scheduler.job_status(first);
-    assert_eq!(completed, Some(JobStatus::Completed), "its end is heard");
+    assert_eq!(completed, Some(JobStatus::Completed), "its end is received");
     assert_eq!(fleet.highest_last_seen[&worker], 1, "and acknowledged");
     fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.advance(500);
@@ -88,30 +89,30 @@
 }
 
 #[test]
-fn an_unusable_entry_of_nobody_makes_no_worker() {
+fn an_unusable_entry_of_an_unknown_worker_adds_no_worker() {
     let mut fleet = Fleet::with_workers(1);
     let workers = fleet.scheduler.workers().len();
 
     for at in 0..1_000 {
-        fleet.tell(unusable(&format!("nobody-{at}")));
+        fleet.tell(unusable_entry(&format!("nobody-{at}")));
     }
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
 
     assert_eq!(fleet.scheduler.workers().len(), workers);
-    assert_eq!(fleet.running().len(), 1, "the others hold");
+    assert_eq!(fleet.running().len(), 1, "valid entries still count");
 }
 
-/// A worker's entry was overwritten, and then the owner died. The next owner read
-/// no worker there and did not ask it; its task was started elsewhere a second time.
+/// A worker's entry was overwritten, and then the owner crashed. The next owner did not
+/// know the worker and did not poll it, and started its task elsewhere a second time.
 #[test]
-fn a_new_owner_hears_a_worker_whose_entry_is_unreadable() {
+fn a_new_owner_polls_a_worker_whose_entry_is_unreadable() {
     let (fleet, job, worker, run) = with_one_run();
     let spec = record("plain", vec![step(1, 1)]);
 
     let mut next = fleet.next_owner(2, &[(job, spec)], false);
-    next.tell(unusable(&worker));
-    work_for(&mut next, LEASES_OVER_MS);
+    next.tell(unusable_entry(&worker));
+    work_for(&mut next, LEASES_EXPIRED_MS);
 
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on, once");
     next.end_all(job, EndKind::Done);
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn an_entry_that_names_another_service_gets_its_tasks_only() {
+fn a_worker_whose_entry_names_another_service_gets_only_tasks_of_that_service() {
     let mut fleet = Fleet::with_workers(1);
     let job = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(100);
@@ -140,8 +141,8 @@
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
 }
 
-/// Where a worker was called last.
-fn called_at(fleet: &Fleet, worker: &str) -> String {
+/// The address at which a worker was last polled.
+fn last_polled_address(fleet: &Fleet, worker: &str) -> String {
     let calls = fleet.actions.iter().rev();
     let mut calls = calls.filter_map(|action| match action {
         Action::Poll { callee, .. } if &*callee.worker_name == worker => {
@@ -149,12 +150,12 @@
         }
         _ => None,
     });
-    calls.next().expect("it was called")
+    calls.next().expect("it was polled")
 }
 
-/// A worker's entry was overwritten with the address of another worker, which
-/// answered, rightly, that it is not the one that was meant. The owner concluded
-/// that the worker is over and started its tasks elsewhere, while they went on.
+/// A worker's entry was overwritten with the address of another worker, which answered
+/// correctly that it is not the one addressed. The owner concluded that the worker was
+/// gone and started its tasks elsewhere while they went on.
 #[test]
 fn an_entry_with_the_address_of_another_worker_does_not_end_its_worker() {
     let (mut fleet, job, worker, run) = with_one_run();
@@ -167,17 +168,17 @@
 
     fleet.tell(Input::WorkerRegistered(overwritten));
     fleet.submit(2, record("plain", vec![step(2, 1)]));
-    work_for(&mut fleet, LEASES_OVER_MS);
+    work_for(&mut fleet, LEASES_EXPIRED_MS);
 
     assert_eq!(
-        called_at(&fleet, &worker),
+        last_polled_address(&fleet, &worker),
         own,
-        "it answers where it always did"
+        "it is still polled at its own address"
     );
     assert_eq!(starts_on(&fleet, &worker), 1, "no new work there");
     assert!(fleet.running().contains(&(worker.clone(), run)));
 
-    // It is silent now, and who is at the other address is not the one meant.
+    // The worker does not respond now, and another one answers at the new address.
     fleet.silent.push(worker.clone());
     work_for(&mut fleet, 1_500);
     let tried = fleet.actions.iter().any(|action| {
@@ -185,26 +186,26 @@
             if *callee.worker_name == worker && *callee.address == *other)
     });
     assert!(tried, "the other address is tried");
-    let again = fleet
+    let job_starts = fleet
         .starts
         .iter()
         .filter(|(name, ..)| name.task.job == job);
-    assert_eq!(again.count(), 1, "its lease is not over");
+    assert_eq!(job_starts.count(), 1, "its lease has not expired");
 
     fleet.silent.clear();
     fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.end_all(JobId(2), EndKind::Done);
     fleet.advance(1_500);
     fleet.submit(3, record("plain", vec![step(16, 1)]));
-    // It stood still while it was silent, and is quarantined for that.
+    // Its run made no progress while it did not respond, so it is quarantined.
     work_for(&mut fleet, 3_000);
     assert!(starts_on(&fleet, &worker) > 1, "it serves again");
-    assert_eq!(called_at(&fleet, &worker), own);
+    assert_eq!(last_polled_address(&fleet, &worker), own);
 }
 
-/// Two entries named one address, of which one was overwritten. The worker that was
-/// there answered again after a silence, and the other was held for replaced by it,
-/// while it ran on where it always was.
+/// Two entries named the same address after one was overwritten. When the worker at that
+/// address answered again after a pause, the other counted as replaced by it, although it
+/// ran on at its own address.
 #[test]
 fn a_worker_that_answers_does_not_end_one_whose_entry_claims_its_address() {
     let (mut fleet, job, worker, _) = with_one_run();
@@ -222,16 +223,15 @@
         fleet.advance(300);
     }
 
-    let again = fleet
+    let job_starts = fleet
         .starts
         .iter()
         .filter(|(name, ..)| name.task.job == job);
-    assert_eq!(again.count(), 1, "its lease is not over");
+    assert_eq!(job_starts.count(), 1, "its lease has not expired");
 }
 
-/// The next owner of a fleet with one run of a job, told that the job's progress
-/// does not read.
-fn next_owner_without_progress() -> (Fleet, JobId, String, RunName) {
+/// The next owner of a fleet with one run of a job whose progress cannot be decoded.
+fn next_owner_with_unreadable_progress() -> (Fleet, JobId, String, RunName) {
     let (fleet, job, worker, run) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
     next.tell(Input::JobUnreadable(job));
@@ -239,21 +239,21 @@
     (next, job, worker, run)
 }
 
-/// A newer version wrote the progress of a job, and a daemon of the version before
-/// took over. It took the job for one of which nothing was done, and ran it again.
+/// A newer version wrote the progress of a job, and a daemon of the previous version took
+/// over. It treated the job as one without progress and ran it again.
 #[test]
-fn a_job_whose_progress_does_not_read_neither_starts_nor_ends() {
-    let (mut next, job, worker, run) = next_owner_without_progress();
+fn a_job_with_unreadable_progress_neither_starts_nor_ends() {
+    let (mut next, job, worker, run) = next_owner_with_unreadable_progress();
     let spec = record("plain", vec![step(1, 1)]);
 
-    // A client sends it again.
+    // A client submits the job again.
     next.submit(job.0, spec.clone());
-    work_for(&mut next, LEASES_OVER_MS);
+    work_for(&mut next, LEASES_EXPIRED_MS);
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on");
     assert_eq!(
         next.scheduler.job_status(job),
         None,
-        "the store tells of it"
+        "its status has to be read from the store"
     );
     next.end_all(job, EndKind::Done);
     next.advance(1_000);
@@ -268,20 +268,23 @@
     next.advance(1_000);
 
     assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Completed));
-    assert_eq!(next.highest_last_seen[&worker], 1, "now it is noted");
+    assert_eq!(
+        next.highest_last_seen[&worker], 1,
+        "now its end is acknowledged"
+    );
     assert_eq!(next.starts, [], "nothing ran twice");
 }
 
 #[test]
-fn a_run_of_a_job_that_reads_again_is_taken_over() {
-    let (mut next, job, worker, run) = next_owner_without_progress();
+fn a_run_of_a_job_that_becomes_readable_is_adopted() {
+    let (mut next, job, worker, run) = next_owner_with_unreadable_progress();
 
     next.tell(Input::JobReadable {
         id: job,
         record: Arc::new(record("plain", vec![step(1, 1)])),
         progress: None,
     });
-    work_for(&mut next, LEASES_OVER_MS);
+    work_for(&mut next, LEASES_EXPIRED_MS);
 
     assert_eq!(next.running(), [(worker, run)]);
     assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Running));
@@ -292,7 +295,7 @@
 }
 
 #[test]
-fn a_job_that_reads_again_waits_for_workers_that_were_not_heard() {
+fn a_job_that_becomes_readable_waits_for_workers_that_did_not_respond() {
     let (fleet, job, worker, _) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
     next.silent.push(worker);
@@ -306,26 +309,33 @@
     });
     work_for(&mut next, 3_000);
 
-    assert_eq!(next.starts, [], "it may run where this owner cannot look");
+    assert_eq!(
+        next.starts,
+        [],
+        "it may run on the worker that does not respond"
+    );
 }
 
 #[test]
-fn a_cancelled_job_needs_no_progress() {
-    let (mut next, job, worker, run) = next_owner_without_progress();
+fn a_job_with_unreadable_progress_can_be_cancelled() {
+    let (mut next, job, worker, run) = next_owner_with_unreadable_progress();
 
     next.tell(Input::JobCancelled(job));
     next.advance(1_000);
 
     assert_eq!(next.stops, [(run, worker.clone())]);
     assert_eq!(next.running(), []);
-    assert_eq!(next.highest_last_seen[&worker], 1, "its end is noted");
+    assert_eq!(
+        next.highest_last_seen[&worker], 1,
+        "its end is acknowledged"
+    );
 }
 
-/// What a run takes whose job does not read is not known: work beside it brought
-/// its worker over its capacity.
+/// The resources of a run are unknown if its job cannot be decoded: tasks placed beside
+/// the run brought its worker over its capacity.
 #[test]
-fn nothing_goes_beside_a_run_of_which_nothing_is_known() {
-    let (mut next, _, worker, run) = next_owner_without_progress();
+fn nothing_is_placed_beside_a_run_of_an_unreadable_job() {
+    let (mut next, _, worker, run) = next_owner_with_unreadable_progress();
 
     next.submit(2, record("urgent", vec![step(16, 1)]));
     work_for(&mut next, 3_000);
@@ -334,8 +344,8 @@
     assert!(next.running().contains(&(worker, run)), "nor in its place");
 }
 
-/// Beside a roster that did not read, a worker was stored as closed. It got work, the
-/// roster was mended, and the next owner read that nothing runs on the worker.
+/// A worker was stored as closed while the roster could not be decoded. It got tasks, the
+/// roster was repaired, and the next owner read that nothing runs on the worker.
 #[test]
 fn a_closed_worker_is_opened_in_the_store_before_it_gets_work() {
     let fleet = Fleet::with_workers(1);
@@ -351,7 +361,7 @@
 
     next.submit(1, record("plain", vec![step(1, 1)]));
     next.advance(2_000);
-    assert_eq!(next.starts, [], "the store says that nothing starts there");
+    assert_eq!(next.starts, [], "the store still has the worker as closed");
     next.tell(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
         closed: false,
@@ -361,10 +371,10 @@
     assert_eq!(next.starts.len(), 1);
 }
 
-/// The roster was overwritten. The next owner took the fleet for empty, and started
-/// the tasks of a worker again that it did not know of and that had left the list.
+/// The roster was overwritten. The next owner treated the fleet as empty, and restarted
+/// the tasks of a worker that it did not know because its entry was gone too.
 #[test]
-fn while_the_roster_does_not_read_any_worker_may_run_anything() {
+fn while_the_roster_is_unreadable_any_worker_may_run_anything() {
     let (fleet, job, worker, _) = with_one_run();
     let spec = record("plain", vec![step(1, 1)]);
     let other = if worker == "w0" { "w1" } else { "w0" };
@@ -377,19 +387,22 @@
             progress: None,
         });
     });
-    let stored = |next: &Fleet| {
+    let roster_stored = |next: &Fleet| {
         let mut actions = next.actions.iter();
         actions.any(|action| *action == Action::StoreRoster)
     };
 
     work_for(&mut next, 7_000);
     assert_eq!(next.starts, [], "the worker that it cannot know may run it");
-    assert!(!stored(&next), "who follows sees it too");
+    assert!(
+        !roster_stored(&next),
+        "the next owner has to see the unreadable roster too"
+    );
     next.submit(2, record("plain", vec![step(1, 1)]));
     next.advance(100);
     assert_eq!(next.starts.len(), 1, "new work starts at once");
-    work_for(&mut next, LEASES_OVER_MS);
+    work_for(&mut next, LEASES_EXPIRED_MS);
 
-    assert_eq!(next.starts.len(), 2, "the longest lease is over");
-    assert!(stored(&next));
+    assert_eq!(next.starts.len(), 2, "the longest lease has expired");
+    assert!(roster_stored(&next));
 }
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,9 +1,9 @@
-//! Entries and records in the store that other writers wrote: fields missing or
-//! of another type, bytes that do not read, keys with odd characters. None of
-//! them names a worker to use, and whatever stands beside them holds.
+//! Invalid entries and records that other writers put into the store: missing fields,
+//! fields of another type, bytes that cannot be decoded, keys with unusual characters.
+//! None of them may name a worker to use or affect the valid values beside them.
 //!
-//! `FOREIGN_CASES=100000 cargo test --release --test foreign_entries drawn`
-//! draws more entries and more days of a fleet by hand.
+//! To generate more entries and more scenarios, run
+//! `FOREIGN_CASES=100000 cargo test --release --test foreign_entries drawn`.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/daemons.rs"]
--- a/tests/store_health.rs
+++ b/tests/store_health.rs
@@ -1,12 +1,12 @@
-//! What a daemon makes of the way its calls to the store went.
+//! How a daemon judges the store's health from the outcomes of its calls.
 
 use fuchsiaslip::cluster::{
     HealthChange,
     StoreHealth, //
 };
 
-/// A store that answered in so many milliseconds until `at_ms`.
-fn answering(answer_ms: u64, at_ms: u64) -> StoreHealth {
+/// The health after 30 calls, each answered after `answer_ms`, the last one at `at_ms`.
+fn health_after_answers(answer_ms: u64, at_ms: u64) -> StoreHealth {
     let mut health = StoreHealth::default();
     for call in 0..30 {
         let now_ms = at_ms - 30 * answer_ms + call * answer_ms;
@@ -18,12 +18,12 @@
     health
 }
 
-/// Clients waited three seconds for "nobody knows", those of the outage's first
-/// two seconds all of them. The store went silent without a refusal, and a daemon
-/// knew of it only when a call's bound of a second and some more had passed.
+/// The store stopped answering without refusing calls. A daemon noticed this only after
+/// a call had timed out, more than a second later, so all clients of the first two
+/// seconds of an outage waited three seconds for an unknown outcome.
 #[test]
-fn an_overdue_call_shows_that_the_store_is_away() {
-    let mut health = answering(5, 10_000);
+fn a_long_unanswered_call_makes_the_store_unavailable() {
+    let mut health = health_after_answers(5, 10_000);
 
     health.call_started(10_100);
 
@@ -31,17 +31,14 @@
         !health.is_unavailable(10_100 + 350),
         "a slow answer may take as long"
     );
-    assert!(
-        health.is_overdue(10_100 + 350),
-        "but a sign of life is asked for"
-    );
+    assert!(health.is_overdue(10_100 + 350), "but the store is probed");
     assert!(health.is_unavailable(10_100 + 700));
 }
 
-/// A single answer was lost while the store went on answering others.
+/// A single answer is lost while the store answers other calls.
 #[test]
-fn one_lost_answer_does_not_show_that_the_store_is_away() {
-    let mut health = answering(5, 10_000);
+fn one_lost_answer_does_not_make_the_store_unavailable() {
+    let mut health = health_after_answers(5, 10_000);
 
     health.call_started(10_100);
     let other = health.call_started(10_500);
@@ -52,8 +49,8 @@
 }
 
 #[test]
-fn a_store_that_is_slow_for_all_is_not_away() {
-    let mut health = answering(350, 100_000);
+fn a_slow_store_is_not_unavailable() {
+    let mut health = health_after_answers(350, 100_000);
 
     health.call_started(100_000);
 
@@ -61,12 +58,12 @@
     assert!(health.answer_timeout_ms() >= 1_000);
 }
 
-/// Clients that came back a second after an outage were still refused: what the
-/// daemon had sent before the store was back hung until its bound, and nothing
-/// else was sent that could have shown the return.
+/// Clients that retried a second after an outage were still refused: the calls that the
+/// daemon had made before the recovery waited for their timeouts, and no other call was
+/// made that could have shown the recovery.
 #[test]
-fn calls_from_before_the_return_are_given_up_when_the_store_is_back() {
-    let mut health = answering(5, 10_000);
+fn calls_from_before_the_recovery_are_abandoned() {
+    let mut health = health_after_answers(5, 10_000);
     health.call_started(10_100);
 
     let change = health.record_outcome(true, 14_300);
@@ -78,53 +75,53 @@
 }
 
 #[test]
-fn a_refusing_store_is_lost_after_a_while_and_back_with_its_first_answer() {
-    let mut health = answering(5, 10_000);
+fn a_failing_store_is_down_after_a_while_and_recovers_with_its_first_answer() {
+    let mut health = health_after_answers(5, 10_000);
 
     let failing = health.record_outcome(false, 10_100);
     let soon = health.is_down(10_200);
     let later = health.is_down(10_500);
-    let back = health.record_outcome(true, 12_100);
+    let recovered = health.record_outcome(true, 12_100);
 
     assert_eq!(failing, Some(HealthChange::Failing));
     assert!(!soon && later);
-    assert_eq!(back, Some(HealthChange::Recovered { for_ms: 2_000 }));
+    assert_eq!(recovered, Some(HealthChange::Recovered { for_ms: 2_000 }));
     assert!(!health.is_down(12_100));
     assert_eq!(health.recovered_ms(), 12_100);
 }
 
 #[test]
-fn a_lost_answer_of_a_quick_store_is_asked_for_again_soon() {
-    let health = answering(5, 10_000);
+fn a_lost_call_to_a_fast_store_is_retried_soon() {
+    let health = health_after_answers(5, 10_000);
 
-    let patience_ms = health.answer_timeout_ms();
+    let timeout_ms = health.answer_timeout_ms();
 
-    assert!((100..200).contains(&patience_ms), "{patience_ms} ms");
+    assert!((100..200).contains(&timeout_ms), "{timeout_ms} ms");
 }
 
-/// Daemons that were started in a silence of the store had no configuration for a
-/// second after its return. Their first calls had just reached their bound, which
-/// counted as a failure and not as a silence, and what was made anew a tenth of a
-/// second before the return waited for its own bound.
+/// Daemons that were started in an outage of the store had no configuration for a second
+/// after the recovery. Their first calls had just timed out, which counted as a failure
+/// and not as an outage, so the calls that were retried a tenth of a second before the
+/// recovery waited for their own timeouts.
 #[test]
-fn calls_made_anew_just_before_the_return_are_given_up_too() {
+fn calls_retried_just_before_the_recovery_are_abandoned() {
     let mut health = StoreHealth::default();
     let first = health.call_started(36_455);
     health.call_finished(first);
     health.record_outcome(false, 37_455);
     health.call_started(37_555);
 
-    let back = health.record_outcome(true, 37_662);
+    let recovered = health.record_outcome(true, 37_662);
 
-    assert_eq!(back, Some(HealthChange::Recovered { for_ms: 207 }));
+    assert_eq!(recovered, Some(HealthChange::Recovered { for_ms: 207 }));
     assert!(health.is_lost_in_outage(37_555));
 }
 
-/// A call that failed by itself, beside others that were answered, shows no silence:
-/// what is under way is waited for.
+/// A single failed call among answered ones does not show an outage, so calls in flight
+/// are not abandoned.
 #[test]
-fn one_failure_beside_answers_gives_up_no_other_call() {
-    let mut health = answering(5, 10_000);
+fn one_failure_among_answers_abandons_no_other_call() {
+    let mut health = health_after_answers(5, 10_000);
     health.call_started(10_000);
     health.record_outcome(false, 10_100);
 
