--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -107,9 +107,9 @@
         &mut self,
         kind: StoredKind,
         item: &StoredItem,
-        read: Result<T, impl Into<InvalidReason>>,
+        decoded: Result<T, impl Into<InvalidReason>>,
     ) -> Option<T> {
-        match read {
+        match decoded {
             Ok(value) => Some(value),
             Err(why) => {
                 self.add_invalid(kind, item, why.into());
@@ -167,20 +167,20 @@
         report.owner_address = root.address;
     }
     for item in store.range(MEMBERS_PREFIX, true).await?.items {
-        let read = decode::<MemberRecord>(&item.value);
-        if let Some(member) = report.valid_value(StoredKind::Member, &item, read) {
+        let decoded = decode::<MemberRecord>(&item.value);
+        if let Some(member) = report.valid_value(StoredKind::Member, &item, decoded) {
             let name = name_of(&item.key, MEMBERS_PREFIX);
             report.daemons.insert(name, member.address);
         }
     }
     if let Some(item) = store.get(ROSTER_KEY).await? {
-        let read = decode::<Vec<RosterRow>>(&item.value);
-        let rows = report.valid_value(StoredKind::Roster, &item, read);
+        let decoded = decode::<Vec<RosterRow>>(&item.value);
+        let rows = report.valid_value(StoredKind::Roster, &item, decoded);
         report.workers = rows.unwrap_or_default().len();
     }
     for item in store.range(CLOSED_PREFIX, true).await?.items {
-        let read = decode::<ClosedRecord>(&item.value);
-        let record = report.valid_value(StoredKind::Closed, &item, read);
+        let decoded = decode::<ClosedRecord>(&item.value);
+        let record = report.valid_value(StoredKind::Closed, &item, decoded);
         if let Some(record) = record.filter(|record| record.closed) {
             let name = name_of(&item.key, CLOSED_PREFIX);
             report.closed_workers.insert(name, record.runs);
@@ -201,8 +201,8 @@
 ) -> Result<(), StoreError> {
     let mut known: BTreeMap<String, EmptiedRecord> = BTreeMap::new();
     for item in store.range(EMPTIED_PREFIX, false).await?.items {
-        let read = decode::<EmptiedRecord>(&item.value);
-        if let Some(record) = report.valid_value(StoredKind::Emptied, &item, read) {
+        let decoded = decode::<EmptiedRecord>(&item.value);
+        if let Some(record) = report.valid_value(StoredKind::Emptied, &item, decoded) {
             known.insert(name_of(&item.key, EMPTIED_PREFIX), record);
         }
     }
@@ -239,13 +239,13 @@
 ) -> Result<(), StoreError> {
     for item in store.range(WORKERS_PREFIX, true).await?.items {
         let name = name_of(&item.key, WORKERS_PREFIX);
-        let read = decode_worker(&name, &item.value);
-        report.valid_value(StoredKind::Worker, &item, read);
+        let decoded = decode_worker(&name, &item.value);
+        report.valid_value(StoredKind::Worker, &item, decoded);
     }
     for item in store.range(OPERATOR_PREFIX, true).await?.items {
         if item.key == CONFIGURATION_KEY {
-            let read = decode_configuration(&item.value);
-            report.valid_value(StoredKind::Configuration, &item, read);
+            let decoded = decode_configuration(&item.value);
+            report.valid_value(StoredKind::Configuration, &item, decoded);
         } else if item.key.starts_with(WAVES_PREFIX) {
             report.valid_value(StoredKind::Wave, &item, read_wave(&item));
         }
@@ -267,8 +267,8 @@
             );
             continue;
         };
-        let read = decode_progress(&item.value);
-        if let Some(progress) = report.valid_value(StoredKind::Progress, &item, read) {
+        let decoded = decode_progress(&item.value);
+        if let Some(progress) = report.valid_value(StoredKind::Progress, &item, decoded) {
             states.insert(job, progress.ended);
         }
     }
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -48,7 +48,7 @@
 
 /// The stored record of an emptied data centre: its key, its revision, and the record,
 /// or `None` if that cannot be decoded.
-pub type FoundEmptied = (String, u64, Option<EmptiedRecord>);
+pub type StoredEmptied = (String, u64, Option<EmptiedRecord>);
 
 /// Changes that the owner wants stored.
 #[derive(Default)]
@@ -85,7 +85,7 @@
     waves: BTreeMap<u64, bool>,
     emptied: BTreeMap<String, Option<EmptiedRecord>>,
     /// Valid records of earlier owners whose orders are still in force, by data centre.
-    found_emptied: HashMap<String, EmptiedRecord>,
+    earlier_emptied: HashMap<String, EmptiedRecord>,
     deleted_jobs: Vec<JobId>,
     /// Last known revisions of values, by key.
     revisions: HashMap<String, u64>,
@@ -160,7 +160,7 @@
 
     /// Records what earlier owners stored of emptied data centres. A record whose order
     /// is no longer in force is removed; the others stay as they were first stored.
-    pub fn note_emptied(&self, found: Vec<FoundEmptied>, in_force: &[EmptyingOrder]) {
+    pub fn note_emptied(&self, found: Vec<StoredEmptied>, in_force: &[EmptyingOrder]) {
         let mut pending = self.pending.borrow_mut();
         for (key, revision, record) in found {
             let name = key.strip_prefix(EMPTIED_PREFIX).unwrap_or_default();
@@ -169,7 +169,7 @@
             if !in_force.iter().any(|order| order.data_centre == name) {
                 pending.emptied.insert(name, None);
             } else if let Some(record) = record {
-                pending.found_emptied.insert(name, record);
+                pending.earlier_emptied.insert(name, record);
             }
         }
     }
@@ -193,7 +193,7 @@
         pending.closed.extend(changes.closed);
         pending.waves.extend(changes.waves);
         for (data_centre, record) in changes.emptied {
-            let found = pending.found_emptied.remove(&data_centre);
+            let found = pending.earlier_emptied.remove(&data_centre);
             let stored = found.is_some_and(|found| {
                 let record = record.as_ref();
                 record.is_some_and(|record| record.revision == found.revision)
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -11,7 +11,7 @@
 use super::node::Node;
 use super::pending_writes::{
     Changes,
-    FoundEmptied, //
+    StoredEmptied, //
 };
 use super::records::{
     CLOSED_PREFIX,
@@ -103,7 +103,7 @@
 }
 
 /// Decodes the records of emptied data centres that earlier owners stored.
-pub fn emptied_records(node: &Node, emptied: &StoredRange) -> Vec<FoundEmptied> {
+pub fn emptied_records(node: &Node, emptied: &StoredRange) -> Vec<StoredEmptied> {
     let items = emptied.items.iter();
     let records = items.map(|item| {
         let record = node.valid_value(StoredKind::Emptied, item, decode(&item.value));
@@ -115,8 +115,8 @@
 /// Returns inputs for the waves of upkeep that are not completed.
 pub fn wave_inputs(node: &Node, waves: &StoredRange, states: &StoredRange) -> Vec<Input> {
     let is_completed = |item: &&StoredItem| {
-        let read = is_wave_completed(&item.value);
-        node.valid_value(StoredKind::WaveState, item, read) == Some(true)
+        let decoded = is_wave_completed(&item.value);
+        node.valid_value(StoredKind::WaveState, item, decoded) == Some(true)
     };
     let completed = states.items.iter().filter(is_completed);
     let completed: Vec<&str> = completed.map(|item| item.key.as_str()).collect();
@@ -184,15 +184,15 @@
             );
             continue;
         };
-        let read = decode_progress(&item.value);
-        progress_by_job.insert(job, node.valid_value(StoredKind::Progress, item, read));
+        let decoded = decode_progress(&item.value);
+        progress_by_job.insert(job, node.valid_value(StoredKind::Progress, item, decoded));
     }
     let mut inputs = Vec::with_capacity(jobs.items.len());
     for item in &jobs.items {
         match read_job_key(&item.key) {
             Some(JobKeyKind::Job(id)) => {
-                let read = decode_job_record(&item.value);
-                let record = node.valid_value(StoredKind::Job, item, read);
+                let decoded = decode_job_record(&item.value);
+                let record = node.valid_value(StoredKind::Job, item, decoded);
                 match (record, progress_by_job.remove(&id)) {
                     (Some(record), None) => inputs.push(job_input(id, record, None)),
                     (Some(record), Some(Some(progress))) => {
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -94,11 +94,11 @@
     let bytes = encode(&record);
     // A store that is known not to answer is not tried: an immediate refusal is
     // correct, whereas a call would end without a known outcome.
-    let mut stored = match node.accepts_jobs() {
+    let mut outcome = match node.accepts_jobs() {
         true => store_job(node, job, bytes.clone(), until_ms).await,
         false => StorageOutcome::Refused,
     };
-    if stored == StorageOutcome::Refused
+    if outcome == StorageOutcome::Refused
         && let Some(peer) = node.eligible_peer()
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "submit").increment(1);
@@ -106,13 +106,13 @@
             job: job.0,
             record: bytes.to_vec(),
         });
-        stored = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
-    } else if stored == StorageOutcome::Done && node.owns() {
+        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+    } else if outcome == StorageOutcome::Done && node.owns() {
         send_job_input(node, job, record);
-    } else if stored == StorageOutcome::Done {
+    } else if outcome == StorageOutcome::Done {
         tell_owner_of_job(node, job, bytes);
     }
-    stored
+    outcome
 }
 
 /// Sends a stored job to this daemon's own scheduler.
@@ -215,20 +215,20 @@
 /// Cancels a job: stores the cancellation, from here or through a peer, and tells the
 /// owner.
 pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
-    let mut stored = match node.accepts_jobs() {
+    let mut outcome = match node.accepts_jobs() {
         true => store_cancellation(node, job, until_ms).await,
         false => StorageOutcome::Refused,
     };
-    if stored == StorageOutcome::Refused
+    if outcome == StorageOutcome::Refused
         && let Some(peer) = node.eligible_peer()
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "cancel").increment(1);
         let body = PeerBody::Cancel(job.0);
-        stored = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
-    } else if stored == StorageOutcome::Done {
+        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+    } else if outcome == StorageOutcome::Done {
         tell_owner_of_cancellation(node, job);
     }
-    stored
+    outcome
 }
 
 /// Tells the owner of a stored cancellation.
@@ -393,18 +393,18 @@
         }
         PeerBody::Submit(job) => {
             let (id, record) = (JobId(job.job), Bytes::from(job.record));
-            let stored = store_job(&node, id, record.clone(), until_ms).await;
-            if stored == StorageOutcome::Done {
+            let outcome = store_job(&node, id, record.clone(), until_ms).await;
+            if outcome == StorageOutcome::Done {
                 tell_owner_of_job(&node, id, record);
             }
-            Some(PeerBody::StorageOutcome(stored.code()))
+            Some(PeerBody::StorageOutcome(outcome.code()))
         }
         PeerBody::Cancel(job) => {
-            let stored = store_cancellation(&node, JobId(job), until_ms).await;
-            if stored == StorageOutcome::Done {
+            let outcome = store_cancellation(&node, JobId(job), until_ms).await;
+            if outcome == StorageOutcome::Done {
                 tell_owner_of_cancellation(&node, JobId(job));
             }
-            Some(PeerBody::StorageOutcome(stored.code()))
+            Some(PeerBody::StorageOutcome(outcome.code()))
         }
         PeerBody::ConfigurationAbove(version) => {
             let own = node.configuration();
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -62,8 +62,8 @@
         None => Some(None),
         Some(item) => {
             node.pending_writes.note_revision(&item.key, item.revision);
-            let read = decode_progress(&item.value);
-            node.valid_value(StoredKind::Progress, &item, read)
+            let decoded = decode_progress(&item.value);
+            node.valid_value(StoredKind::Progress, &item, decoded)
                 .map(Some)
         }
     };
