--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration on the wire.
+//! Decodes the operator's configuration.
 
 use crate::scheduler::{
     AccountDeclaration,
@@ -22,7 +22,7 @@
     limits: LimitsBody,
 }
 
-/// A route is a queue.
+/// A route, which the scheduler calls a queue.
 #[derive(Deserialize)]
 struct RouteBody {
     name: String,
@@ -47,16 +47,16 @@
 }
 
 impl RouteBody {
-    /// Whether sums with its numbers stay in range.
+    /// Returns whether the numbers are small enough for sums with them to stay in range.
     fn is_in_range(&self) -> bool {
         (0.0..=MAX_STRETCH).contains(&self.stretch_factor)
             && (0.0..=MAX_LATENCY_MS).contains(&self.target_latency_ms)
     }
 }
 
-/// Largest factor that is believed: more than a thousand is no objective.
+/// Largest accepted stretch factor; factors above 1,000 already set no real objective.
 const MAX_STRETCH: f64 = 1e6;
-/// Longest latency that is believed, 30 years.
+/// Longest accepted target latency, 30 years.
 const MAX_LATENCY_MS: f64 = 1e12;
 
 fn one_attempt() -> u32 {
@@ -72,7 +72,7 @@
     name: String,
     #[serde(default)]
     standby: bool,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse runs that exceed their free capacity.
     #[serde(default)]
     rejects_overload: bool,
 }
@@ -100,15 +100,18 @@
     idle_timeout_ms: Option<u64>,
 }
 
-/// Reads a configuration.
+/// Decodes a configuration.
 ///
 /// # Errors
 ///
-/// The bytes are no configuration.
+/// The bytes are not a valid configuration, or a route has a number out of range.
 pub fn decode_configuration(value: &[u8]) -> Result<ClusterConfiguration, serde_json::Error> {
     let body: ConfigurationBody = serde_json::from_slice(value)?;
     if let Some(route) = body.routes.iter().find(|route| !route.is_in_range()) {
-        let problem = format!("a number of route {} is out of range", route.name);
+        let problem = format!(
+            "stretch_factor or target_latency_ms of route {} is out of range",
+            route.name
+        );
         return Err(serde::de::Error::custom(problem));
     }
     let default = RequestLimits::default();
@@ -129,9 +132,9 @@
     };
     let routes = body.routes.into_iter();
     let tenants = body.tenants.into_iter();
-    let names_of = |services: &[ServiceBody], wanted: fn(&ServiceBody) -> bool| {
-        let wanted = services.iter().filter(|service| wanted(service));
-        wanted.map(|service| service.name.clone()).collect()
+    let names_where = |services: &[ServiceBody], predicate: fn(&ServiceBody) -> bool| {
+        let matching = services.iter().filter(|service| predicate(service));
+        matching.map(|service| service.name.clone()).collect()
     };
     Ok(ClusterConfiguration {
         version: body.version,
@@ -143,8 +146,8 @@
                 guaranteed_accelerators: tenant.guaranteed.gpu,
             })
             .collect(),
-        standby_services: names_of(&body.services, |service| service.standby),
-        unguarded_services: names_of(&body.services, |service| !service.rejects_overload),
+        standby_services: names_where(&body.services, |service| service.standby),
+        unguarded_services: names_where(&body.services, |service| !service.rejects_overload),
         limits,
     })
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,5 @@
-//! Calls over HTTP with time-outs of our own.
+//! HTTP client with separate timeouts for the start of a response and for pauses in its
+//! body.
 
 use crate::timer::Timer;
 use crate::unsent::was_never_sent;
@@ -14,26 +15,26 @@
 use futures_util::StreamExt;
 use serde::Serialize;
 
-/// Largest answer that is read: a page of the store is about a megabyte, in
-/// base64 and JSON.
-const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Largest response body that is read. A page of the store takes about a megabyte as
+/// base64 in JSON.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// An answer whose body stands still this long will not be whole: a busy link
-/// of 10 Mbit/s delays a packet by some 100 ms.
-const STALL_LIMIT_MS: u64 = 700;
+/// A response is abandoned when no part of its body arrives for this long: a busy link of
+/// 10 Mbit/s delays a packet by only some 100 ms.
+const STALL_TIMEOUT_MS: u64 = 700;
 
-/// Why a call brought no answer.
+/// Why a call got no complete response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallFailure {
-    /// The connection was never opened: nothing was sent.
+    /// The connection was never opened, so nothing was sent.
     NotSent,
-    /// It was sent, at least in part, and nothing is known of it.
+    /// The request was sent, at least in part, and its outcome is unknown.
     NoAnswer,
-    /// It was answered at a length that is not read.
+    /// The response body is longer than the client reads.
     TooLarge,
 }
 
-/// A client that keeps its connections; lives on one thread.
+/// A client that reuses its connections. It stays on one thread.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client,
@@ -41,10 +42,10 @@
 }
 
 impl HttpClient {
-    /// Opens a client.
+    /// Creates a client.
     pub fn open(timer: Timer) -> Self {
-        // The library's bound of 100 connections is lifted: each worker holds
-        // one with its waiting look. What is under way is bounded by callers.
+        // The library's limit of 100 connections is lifted, because the open poll of each
+        // worker occupies one. Callers bound the number of calls in flight.
         let connector = awc::Connector::new().limit(0);
         let client = Client::builder()
             .connector(connector)
@@ -55,28 +56,27 @@
         Self { client, timer }
     }
 
-    /// Makes a call whose answer has to begin within `limit_ms`; its body may
-    /// then take longer, as long as it goes on coming: a configuration of a
-    /// thousand queues takes seconds on the links of small VMs. A connection
-    /// that went silent is dropped with its call, so the next call opens
-    /// another.
+    /// Makes a call whose response has to begin within `timeout_ms`. The body may take
+    /// longer as long as parts of it keep arriving: a configuration of a thousand queues
+    /// takes seconds on the links of small VMs. An unresponsive connection is dropped
+    /// with its call, so that the next call opens another.
     ///
     /// # Errors
     ///
-    /// No whole answer came.
+    /// No complete response came.
     pub async fn call(
         &self,
         method: Method,
         url: String,
         headers: &[(&'static str, &str)],
         body: Option<Vec<u8>>,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), CallFailure> {
         let mut request = self.client.request(method, url);
         for &(name, value) in headers {
             request = request.insert_header((name, value));
         }
-        let sent = async {
+        let sending = async {
             let sent = match body {
                 Some(body) => {
                     let request = request.insert_header(("content-type", "application/json"));
@@ -89,16 +89,16 @@
                 false => CallFailure::NoAnswer,
             })
         };
-        let begun = self.timer.timeout(limit_ms, sent).await;
-        let mut response = begun.unwrap_or(Err(CallFailure::NoAnswer))?;
+        let head = self.timer.timeout(timeout_ms, sending).await;
+        let mut response = head.unwrap_or(Err(CallFailure::NoAnswer))?;
         let status = response.status();
         let mut body = BytesMut::new();
-        while let Ok(chunk) = self.timer.timeout(STALL_LIMIT_MS, response.next()).await {
+        while let Ok(chunk) = self.timer.timeout(STALL_TIMEOUT_MS, response.next()).await {
             let Some(chunk) = chunk else {
                 return Ok((status, body.freeze()));
             };
             let chunk = chunk.map_err(|_| CallFailure::NoAnswer)?;
-            if body.len() + chunk.len() > MAX_ANSWER_BYTES {
+            if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
                 return Err(CallFailure::TooLarge);
             }
             body.extend_from_slice(&chunk);
@@ -106,20 +106,20 @@
         Err(CallFailure::NoAnswer)
     }
 
-    /// Posts a JSON body.
+    /// Posts a JSON body; otherwise like [`HttpClient::call`].
     ///
     /// # Errors
     ///
-    /// No whole answer came.
+    /// No complete response came.
     pub async fn post<T: Serialize>(
         &self,
         url: String,
         headers: &[(&'static str, &str)],
         body: &T,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<(StatusCode, Bytes), CallFailure> {
         let body = serde_json::to_vec(body).map_err(|_| CallFailure::NotSent)?;
-        self.call(Method::POST, url, headers, Some(body), limit_ms)
+        self.call(Method::POST, url, headers, Some(body), timeout_ms)
             .await
     }
 }
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,4 +1,4 @@
-//! Bodies and headers of clients' requests.
+//! Decodes the bodies and headers of clients' requests and encodes the answers.
 
 use crate::scheduler::{
     JobSpec,
@@ -13,7 +13,7 @@
     Serialize, //
 };
 
-/// Path of the balancer's question.
+/// Path of the load balancer's readiness check.
 pub const READINESS_PATH: &str = "/-/readiness";
 
 #[derive(Deserialize)]
@@ -51,10 +51,10 @@
     same_rack: bool,
     #[serde(default)]
     requirements: String,
-    /// Names a rack: where the data lies.
+    /// The rack that holds the step's data.
     #[serde(default)]
     affinity: String,
-    /// Not against other jobs: most tasks of this step on one worker.
+    /// Most tasks of this step on one worker; tasks of other jobs do not count.
     #[serde(default)]
     anti_affinity: u32,
     #[serde(default)]
@@ -75,11 +75,11 @@
     1
 }
 
-/// Reads a job.
+/// Decodes a job.
 ///
 /// # Errors
 ///
-/// The bytes are no job.
+/// The bytes are not a valid job.
 pub fn decode_job(body: &[u8]) -> Result<JobSpec, serde_json::Error> {
     let body: JobBody = serde_json::from_slice(body)?;
     let schedule = (body.repetitions > 0).then_some(Schedule {
@@ -124,9 +124,9 @@
     state: &'static str,
 }
 
-/// What a client is told of its job.
-pub fn encode_state(view: JobStatus) -> Vec<u8> {
-    let state = match view {
+/// Encodes the state of a job for its client.
+pub fn encode_state(status: JobStatus) -> Vec<u8> {
+    let state = match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
         JobStatus::Completed => "completed",
@@ -141,18 +141,18 @@
     pending: u64,
 }
 
-/// What a client is told of a queue.
+/// Encodes the number of pending jobs of a queue for a client.
 pub fn encode_pending(pending: u64) -> Vec<u8> {
     serde_json::to_vec(&PendingBody { pending }).unwrap_or_default()
 }
 
-/// The key that a client shows.
+/// Returns the account key that a client sends, if any.
 pub fn key_header(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get("authorization")?.to_str().ok()?;
     value.strip_prefix("Token ").map(str::trim)
 }
 
-/// How long a client waits for its answer.
+/// Returns how long a client waits for its answer, in milliseconds.
 pub fn deadline_header(headers: &HeaderMap) -> Option<u64> {
     headers
         .get("deadline-ms")?
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's machines and their upkeep.
+//! Client of the platform's interface for machines, and the encoding of upkeep waves.
 
 use super::http::{
     CallFailure,
@@ -21,10 +21,10 @@
     Serialize, //
 };
 
-/// Bound on a call: like the store, the interface answers in milliseconds, and
-/// in some hundreds on a slow day.
-const CALL_LIMIT_MS: u64 = 1_500;
-/// Pages of the list that are read; far more than the largest fleet has.
+/// Timeout of a call. Like the store, the interface answers within a few milliseconds, or
+/// a few hundred when it is slow.
+const CALL_TIMEOUT_MS: u64 = 1_500;
+/// Most pages of the list that are read, far more than the largest fleet has.
 const MAX_PAGES: usize = 200;
 const HOLDER_HEADER: &str = "Duty-Holder";
 const EPOCH_HEADER: &str = "Fencing-Token";
@@ -77,7 +77,7 @@
 const RUNNING: &str = "running";
 const COMPLETED: &str = "completed";
 
-/// The client of the machines' interface; lives on one thread.
+/// Client of the interface for machines. It stays on one thread.
 #[derive(Clone)]
 pub struct MachineClient {
     http: HttpClient,
@@ -86,7 +86,7 @@
 }
 
 impl MachineClient {
-    /// Opens the client; orders are given in the name of `holder`.
+    /// Creates a client that gives orders in the name of `holder`.
     pub fn open(http: HttpClient, address: &str, holder: &str) -> Self {
         Self {
             http,
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Reads the whole list.
+    /// Lists all machines.
     ///
     /// # Errors
     ///
-    /// A page did not come or does not read.
+    /// A page was not received or cannot be decoded, or there are too many pages.
     pub async fn list(&self) -> Result<Vec<MachineInfo>, CallFailure> {
         let mut machines = Vec::new();
         let mut token = String::new();
@@ -109,11 +109,11 @@
                 let query = serde_urlencoded::to_string([("page_token", &token)]);
                 url = format!("{url}?{}", query.map_err(|_| CallFailure::NotSent)?);
             }
-            let call = self.http.call(Method::GET, url, &[], None, CALL_LIMIT_MS);
+            let call = self.http.call(Method::GET, url, &[], None, CALL_TIMEOUT_MS);
             let (status, body) = call.await?;
             let page: Option<PageBody> = serde_json::from_slice(&body).ok();
             let Some(page) = page.filter(|_| status == StatusCode::OK) else {
-                log::debug!("the list of machines does not read: {status}");
+                log::debug!("cannot read the list of machines: status {status}");
                 return Err(CallFailure::NoAnswer);
             };
             machines.extend(page.machines.into_iter().map(machine_of));
@@ -129,7 +129,7 @@
         Err(CallFailure::NoAnswer)
     }
 
-    /// Begins the upkeep of a machine.
+    /// Orders the upkeep of a machine.
     pub async fn begin_upkeep(&self, wave: u64, machine: &str, epoch: u64) -> UpkeepOutcome {
         let url = format!("http://{}/-/machine-upkeep", self.address);
         let epoch = epoch.to_string();
@@ -138,7 +138,7 @@
             (EPOCH_HEADER, epoch.as_str()),
         ];
         let body = UpkeepBody { machine, wave };
-        let call = self.http.post(url, &headers, &body, CALL_LIMIT_MS);
+        let call = self.http.post(url, &headers, &body, CALL_TIMEOUT_MS);
         match call.await {
             Ok((status, body)) => outcome_of(status, &body),
             Err(_) => UpkeepOutcome::NoAnswer,
@@ -164,7 +164,7 @@
         StatusCode::BAD_REQUEST => UpkeepOutcome::NotOfWave,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => UpkeepOutcome::Limited,
         StatusCode::CONFLICT => {
-            // An unknown reason is treated like the mildest: look again.
+            // An unknown reason is treated as the mildest, a machine that is not up.
             let body: RefusalBody = serde_json::from_slice(body).unwrap_or_default();
             match body.reason.as_str() {
                 "fence" => UpkeepOutcome::Fenced,
@@ -176,14 +176,14 @@
     }
 }
 
-/// Reads a wave as the operator wrote it.
+/// Decodes a wave that the operator wrote.
 ///
 /// # Errors
 ///
-/// The bytes are no wave.
+/// The bytes are not a valid wave.
 pub fn decode_wave(value: &[u8]) -> Result<WaveOrder, serde_json::Error> {
     use serde::de::Error;
-    /// Longest time that is believed, 30 years: sums with it stay in range.
+    /// Longest accepted duration, 30 years: sums with it stay in range.
     const MAX_DURATION_S: f64 = 1e9;
     let body: WaveBody = serde_json::from_slice(value)?;
     if !(0.0..=MAX_DURATION_S).contains(&body.duration_s) {
@@ -197,26 +197,26 @@
     })
 }
 
-/// Where the operator reads how far a wave is.
+/// Returns the key under which the operator reads the state of a wave.
 pub fn wave_state_key(wave: u64) -> String {
     format!("{WAVE_STATES_PREFIX}{wave}")
 }
 
-/// How far a wave is, as it is written for the operator.
+/// Encodes the state of a wave for the operator.
 pub fn encode_wave_state(completed: bool) -> Bytes {
     let state = if completed { COMPLETED } else { RUNNING };
     let body = WaveStateBody {
         state: state.to_owned(),
     };
-    // A plain struct of a text always encodes.
+    // Encoding a struct of one string cannot fail.
     Bytes::from(serde_json::to_vec(&body).unwrap_or_default())
 }
 
-/// Whether what was written says that a wave is completed.
+/// Returns whether an encoded wave state says that the wave is completed.
 ///
 /// # Errors
 ///
-/// The bytes are no state of a wave.
+/// The bytes are not a valid wave state.
 pub fn is_wave_completed(value: &[u8]) -> Result<bool, serde_json::Error> {
     let body: WaveStateBody = serde_json::from_slice(value)?;
     Ok(body.state == COMPLETED)
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' platform: everything that only translates between its wire
-//! and the product. Nothing outside this folder knows its paths and fields.
+//! Translates between the wire formats of the operators' platform and the types of the
+//! scheduler and the cluster. No other module knows the platform's paths and fields.
 
 mod configuration;
 mod http;
--- a/src/platform/registration.rs
+++ b/src/platform/registration.rs
@@ -1,24 +1,25 @@
-//! Entries under which workers register themselves.
+//! Decodes the entries under which workers register themselves in the store.
 //!
-//! Others may write there too, so an entry names a worker to use only if it is
-//! as workers write theirs:
+//! Other writers may write under the same prefix, so an entry is valid only if it looks
+//! as workers write it:
 //!
-//! - Its name (the key behind [`WORKERS_PREFIX`](super::WORKERS_PREFIX)) is sent
-//!   as a header and is part of our own keys: letters, digits and `-_.:~@`.
-//! - It is one JSON object in UTF-8 of at most [`MAX_ENTRY_BYTES`], nested at
-//!   most [`MAX_DEPTH`] deep.
-//! - It has `service`, `zone` and `state` as texts, the state `ready` or
-//!   `draining`; `address` as an IP number and a port that can be called;
-//!   `capacity` with `cpu` and `mem_mb`; `labels` as texts, at least one.
-//! - What may be left out: `gpu` (0), `remaining_ms` and `born` (not known), and what
-//!   is not used here, `version`, `slots`, `cold_remaining_ms`, `sequence`. Present, they
-//!   have their type too.
-//! - None of these fields stands twice. Fields that are not known are passed
-//!   over: a newer version of the platform may write more.
+//! - The worker's name, which is the key after
+//!   [`WORKERS_PREFIX`](super::WORKERS_PREFIX), consists of letters, digits and `-_.:~@`,
+//!   because it is sent as a header and is part of the cluster's own keys.
+//! - The value is one JSON object in UTF-8 of at most [`MAX_ENTRY_BYTES`], nested at
+//!   most [`MAX_DEPTH`] levels deep.
+//! - Required fields: the strings `service`, `zone` and `state`, the last one `ready` or
+//!   `draining`; `address`, an IP address and a port that can be called; `capacity` with
+//!   `cpu` and `mem_mb`; `labels`, at least one string.
+//! - Optional fields: `gpu` (0 by default), `remaining_ms` and `born` (unknown by
+//!   default), and the unused `version`, `slots`, `cold_remaining_ms` and `sequence`.
+//!   If present, they must have the right type too.
+//! - No such field occurs twice. Unknown fields are ignored, since a newer version of the
+//!   platform may write more.
 //!
-//! A service that no queue uses is no fault. Neither is an address that another
-//! entry has: that of a crashed life stays beside its successor's for seconds.
-//! Orders carry the life that they are meant for, so no other one takes them.
+//! A service that no queue uses is valid. So is an address that another entry has too: the
+//! entry of a crashed incarnation stays beside that of its successor for seconds. Orders
+//! name the incarnation that they are for, so no other one carries them out.
 
 use crate::scheduler::{
     Resources,
@@ -42,64 +43,66 @@
     SocketAddr, //
 };
 
-/// Largest entry that is read: a hundred times what a worker writes.
+/// Largest entry that is decoded, a hundred times what a worker writes.
 pub const MAX_ENTRY_BYTES: usize = 64 << 10;
-/// Deepest nesting that is read: workers nest two levels.
+/// Deepest nesting that is accepted; workers nest two levels.
 const MAX_DEPTH: usize = 16;
-/// Longest name: it has to fit into a key of 200 bytes behind any of our
-/// prefixes.
+/// Longest worker name: it has to fit into a key of 200 bytes after any prefix that the
+/// cluster uses.
 const MAX_NAME_BYTES: usize = 192;
-/// Longest text in an entry; names of services are of some ten bytes.
+/// Longest string in an entry; names of services have some ten bytes.
 const MAX_TEXT_BYTES: usize = 256;
 /// Most labels; workers have two.
 const MAX_LABELS: usize = 64;
-/// Largest capacity: ten thousand cores, in thousandths.
+/// Largest CPU capacity, ten thousand cores, in thousandths of a core.
 const MAX_CPU_MILLIS: u32 = 10_000_000;
-/// Largest memory: 128 TiB.
+/// Largest memory, 128 TiB.
 const MAX_MEMORY_MB: u32 = 1 << 27;
 /// Most accelerators of one worker.
 const MAX_ACCELERATORS: u32 = 10_000;
-/// Largest of the other numbers: larger ones are not exact in JSON.
+/// Largest value of the other numbers; larger integers are not exact in JSON.
 const MAX_NUMBER: f64 = (1u64 << 53) as f64;
 
-/// Why an entry names no worker to use.
+/// Why an entry is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum WorkerEntryError {
-    /// Its key is no worker's name.
-    #[error("the key is no worker's name; use letters, digits and -_.:~@")]
+    /// Its key is not a worker's name.
+    #[error("the key is not a worker's name; use letters, digits and -_.:~@")]
     Name,
     /// It is too long.
-    #[error("{bytes} bytes are too many for an entry; write at most {MAX_ENTRY_BYTES}")]
+    #[error("the entry has {bytes} bytes; write at most {MAX_ENTRY_BYTES}")]
     TooLarge {
-        /// Its length, or as much of it as was read.
+        /// Its length, or the length of the part that was read.
         bytes: usize,
     },
     /// It is not UTF-8.
-    #[error("the bytes are not UTF-8; write JSON as workers do")]
+    #[error("the entry is not UTF-8; write JSON as workers do")]
     NotText,
     /// It is nested too deep.
-    #[error("it is nested deeper than {MAX_DEPTH}; write JSON as workers do")]
+    #[error("the entry is nested deeper than {MAX_DEPTH} levels; write JSON as workers do")]
     TooDeep,
     /// It is not JSON.
-    #[error("it is not JSON ({0}); write JSON as workers do")]
+    #[error("the entry is not JSON ({0}); write JSON as workers do")]
     NotJson(String),
-    /// A field is missing, stands twice or is of another type.
+    /// A field is missing, occurs twice or has the wrong type.
     #[error("{0}; write all fields as workers do")]
     Field(String),
-    /// The state is none that a worker has.
+    /// The state is unknown.
     #[error("the state is neither ready nor draining")]
     State,
-    /// The service is empty or not a plain text.
-    #[error("the service is not named; name one of the configuration")]
+    /// The service is blank, too long or has control characters.
+    #[error(
+        "the service is blank, too long or has control characters; name one of the configuration"
+    )]
     Service,
-    /// The data centre is empty or not a plain text.
-    #[error("the data centre is not named")]
+    /// The data centre is blank, too long or has control characters.
+    #[error("the data centre is blank, too long or has control characters")]
     DataCentre,
     /// The address cannot be called.
     #[error("the address cannot be called; write IP:PORT")]
     Address,
-    /// The labels are missing or not plain texts.
-    #[error("the labels are not the worker's kind and rack")]
+    /// There are no or too many labels, or one is blank, too long or has control characters.
+    #[error("the labels are missing or malformed; write the worker's kind and rack")]
     Labels,
     /// A number is out of range.
     #[error("{0} is out of range")]
@@ -107,7 +110,7 @@
 }
 
 impl WorkerEntryError {
-    /// The reason as logs and counters name it.
+    /// Returns the name of the reason in logs and counters.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Name => "bad_name",
@@ -145,7 +148,7 @@
     labels: Vec<String>,
     #[serde(default, deserialize_with = "present")]
     remaining_ms: Option<f64>,
-    // Read for its type only, like the next three.
+    // Decoded only to check its type, like the next three fields.
     #[serde(default, rename = "version")]
     _version: String,
     #[serde(default)]
@@ -166,18 +169,18 @@
     gpu: u32,
 }
 
-/// A whole number that may be left out but is never null.
+/// Decodes an integer that may be left out but must not be null.
 fn whole<'de, D: Deserializer<'de>>(field: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(field).map(Some)
 }
 
-/// A field that may be left out but is never null.
+/// Decodes a number that may be left out but must not be null.
 fn present<'de, D: Deserializer<'de>>(field: D) -> Result<Option<f64>, D::Error> {
     f64::deserialize(field).map(Some)
 }
 
-/// A JSON object and nothing else: structs are also read from lists, by the
-/// order of their fields.
+/// A value that is decoded only from a JSON object. Without this, serde also decodes a
+/// struct from an array, by the order of its fields.
 struct Object<T>(T);
 
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Object<T> {
@@ -200,11 +203,11 @@
     }
 }
 
-/// Reads what a worker registered under its name.
+/// Decodes the entry that a worker registered under its name.
 ///
 /// # Errors
 ///
-/// The entry names no worker to use.
+/// The entry is invalid.
 pub fn decode_worker(worker_name: &str, value: &[u8]) -> Result<WorkerInfo, WorkerEntryError> {
     if !is_worker_name(worker_name) {
         return Err(WorkerEntryError::Name);
@@ -253,10 +256,10 @@
             ("sequence", self.sequence),
             ("born", self.born.unwrap_or(0) as f64),
         ];
-        let wrong = numbers
+        let out_of_range = numbers
             .iter()
             .find(|(_, number)| !(0.0..=MAX_NUMBER).contains(number));
-        wrong.map_or(Ok(()), |(field, _)| Err(WorkerEntryError::Number(field)))
+        out_of_range.map_or(Ok(()), |(field, _)| Err(WorkerEntryError::Number(field)))
     }
 }
 
@@ -292,7 +295,7 @@
     (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-/// Whether a text names something: not blank, not long, on one line.
+/// Returns whether a string can be a name: not blank, not too long, no control characters.
 fn is_plain(text: &str) -> bool {
     let blank = text.trim().is_empty();
     !blank && text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control)
@@ -307,8 +310,8 @@
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !broadcast
 }
 
-/// Whether brackets outside of texts are nested deeper than `depth`. The parser
-/// bounds only what it keeps, not what it passes over.
+/// Returns whether brackets outside of strings are nested deeper than `depth`. The parser
+/// limits the nesting only of fields that it keeps, not of those that it ignores.
 fn is_nested_deeper(text: &str, depth: usize) -> bool {
     let (mut open, mut in_text, mut escaped) = (0usize, false, false);
     for byte in text.bytes() {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file: lines of the form `a.b=value`.
+//! Reads the platform's settings file, which has lines of the form `a.b=value`.
 
 use crate::cluster::ClusterSettings;
 use crate::scheduler::Tuning;
@@ -9,38 +9,40 @@
 };
 use std::str::FromStr;
 
-/// The environment variable with the path of the settings file.
+/// The environment variable that holds the path of the settings file.
 pub const BOOT_VARIABLE: &str = "FUCHSIASLIP_BOOT";
 
-/// The second port of the internal range shows the metrics; the deploy file
-/// names the same number.
+/// The second port of the internal range serves the metrics; the deployment file has the
+/// same number.
 const METRICS_PORT_OFFSET: u16 = 1;
 
-/// Added to the time within which owners may not take turns at a machine: an
-/// order of the earlier one may still have been under way.
+/// Added to the time within which two owners must not give orders for the same machine:
+/// an order of the earlier owner may still have been in flight.
 const HOLDER_MARGIN_MS: u64 = 1_000;
 
-/// The time within which an order to empty a data centre has to be in force.
-const ORDERS_BOUND: &str = "bounds.evacuation_ms";
-/// The time after which a room that has shrunk counts, with one heartbeat of a worker.
-const SHRUNK_ROOM_BOUND: &str = "bounds.contact_ms";
-/// Kept of the time after which a start by an old view counts, for the start's way to
-/// its worker and the age of the worker's clock.
-const VIEW_MARGIN_MS: u64 = 100;
-/// An owner reads what it follows once a second where nothing changes, so with less
-/// than this it would start nothing between two reads.
-const LEAST_VIEW_MS: u64 = 1_500;
-/// The same for the workers' entries, which are known as of when the last answered
-/// watch was sent: two watches ago at most.
-const LEAST_ENTRIES_VIEW_MS: u64 = 2_000;
+/// The field with the time within which an order to empty a data centre must be in force.
+const EMPTYING_BOUND: &str = "bounds.evacuation_ms";
+/// The field with the time that, together with one heartbeat interval of a worker, has to
+/// pass before a worker's reduced capacity must be respected.
+const CONTACT_BOUND: &str = "bounds.contact_ms";
+/// Part of a bound that is reserved for the transmission of a start to its worker and for
+/// the age of the owner's knowledge of the worker's clock.
+const START_MARGIN_MS: u64 = 100;
+/// Lower limit of the maximum age of emptying orders. An owner reads them once a second
+/// where nothing changes, so with less it would start nothing between two reads.
+const MIN_ORDERS_MAX_AGE_MS: u64 = 1_500;
+/// Lower limit of the maximum age of workers' entries. They are known as of the time when
+/// the last answered watch was sent, which is at most two watches ago.
+const MIN_ENTRIES_MAX_AGE_MS: u64 = 2_000;
 
-/// How old an owner's view may be when it gives a start, so that no start is carried out
-/// after `bound_ms`: a worker carries a start out until its window is over, on a clock
-/// that may be slow.
-fn view_ms(bound_ms: u64, window_ms: u64, least_ms: u64) -> u64 {
+/// Returns how old an owner's knowledge may be when it orders a start, so that no start is
+/// carried out later than `bound_ms` after a change. A worker still carries a start out
+/// until the start window has passed on its clock, which may be slow. The result is at
+/// least `min_ms`.
+fn max_age_ms(bound_ms: u64, window_ms: u64, min_ms: u64) -> u64 {
     const SLOW_CLOCK_PERMILLE: u64 = 25;
-    let late_ms = window_ms + window_ms * SLOW_CLOCK_PERMILLE / 1_000 + VIEW_MARGIN_MS;
-    bound_ms.saturating_sub(late_ms).max(least_ms)
+    let late_ms = window_ms + window_ms * SLOW_CLOCK_PERMILLE / 1_000 + START_MARGIN_MS;
+    bound_ms.saturating_sub(late_ms).max(min_ms)
 }
 
 /// Why a settings file cannot be used.
@@ -51,20 +53,20 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         problem: String,
     },
     /// A field is missing.
-    #[error("the settings lack {0}; the platform has to give it")]
+    #[error("the settings lack {0}; the platform's settings file must contain it")]
     Missing(&'static str),
-    /// A field has a value that does not read.
+    /// A field has an invalid value.
     #[error("the settings have {field}={value}; expected {expected}")]
     Malformed {
         /// The field.
         field: &'static str,
         /// Its value.
         value: String,
-        /// What would do.
+        /// What a valid value is.
         expected: &'static str,
     },
 }
@@ -92,7 +94,7 @@
         })
     }
 
-    /// A bound in `unit_ms`, or `default_ms` where the installation has none.
+    /// Returns the value of a field times `unit_ms`, or `default_ms` if the field is absent.
     fn bound_ms(
         &self,
         field: &'static str,
@@ -114,12 +116,12 @@
     }
 }
 
-/// Reads settings from the text of the platform's file. Fields that the
-/// product does not know are passed over, as the platform asks.
+/// Parses the text of the platform's settings file. Unknown fields are ignored, as the
+/// platform requires.
 ///
 /// # Errors
 ///
-/// A field that the product needs is missing or does not read.
+/// A required field is missing, or a field has an invalid value.
 pub fn read_settings(text: &str) -> Result<ClusterSettings, SettingsError> {
     let lines = text.lines().filter_map(|line| line.split_once('='));
     let fields = Fields(
@@ -130,20 +132,20 @@
     let ip: IpAddr = fields.parsed("ip", "an address")?;
     let range = fields.text("internal_port_range")?;
     let first_port = range.split(',').next().unwrap_or_default().trim();
-    let ports = |expected| SettingsError::Malformed {
+    let bad_ports = |expected| SettingsError::Malformed {
         field: "internal_port_range",
         value: range.to_owned(),
         expected,
     };
-    let first_port: u16 = first_port.parse().map_err(|_| ports("two ports"))?;
+    let first_port: u16 = first_port.parse().map_err(|_| bad_ports("two ports"))?;
     let last_port = range.split(',').nth(1).unwrap_or_default().trim();
-    let last_port: u16 = last_port.parse().map_err(|_| ports("two ports"))?;
+    let last_port: u16 = last_port.parse().map_err(|_| bad_ports("two ports"))?;
     if last_port < first_port.saturating_add(METRICS_PORT_OFFSET) {
-        return Err(ports("at least two ports, for peers and for metrics"));
+        return Err(bad_ports("at least two ports, for peers and for metrics"));
     }
     let default = Tuning::default();
     let max_lease_ms = fields.bound_ms("bounds.max_hold_ms", 1.0, default.max_lease_ms)?;
-    let shrunk_room_ms = fields.bound_ms(SHRUNK_ROOM_BOUND, 1.0, 3_000)?
+    let shrink_effective_ms = fields.bound_ms(CONTACT_BOUND, 1.0, 3_000)?
         + fields.bound_ms("heartbeat_interval_ms", 1.0, 1_500)?;
     let tuning = Tuning {
         stop_ms: fields.bound_ms("bounds.stop_timeout_ms", 1.0, default.stop_ms)?,
@@ -155,15 +157,15 @@
         restore_ms: fields.bound_ms("bounds.restore_ms", 1.0, default.restore_ms)?,
         checkpoint_ms: fields.bound_ms("bounds.checkpoint_s", 1_000.0, default.checkpoint_ms)?,
         upkeep_ms: fields.bound_ms("bounds.maintenance_s", 1_000.0, default.upkeep_ms)?,
-        orders_max_age_ms: match fields.bound_ms(ORDERS_BOUND, 1.0, u64::MAX)? {
-            // The installation sets no bound.
+        orders_max_age_ms: match fields.bound_ms(EMPTYING_BOUND, 1.0, u64::MAX)? {
+            // The platform sets no bound.
             u64::MAX => default.orders_max_age_ms,
-            bound_ms => view_ms(bound_ms, default.start_window_ms, LEAST_VIEW_MS),
+            bound_ms => max_age_ms(bound_ms, default.start_window_ms, MIN_ORDERS_MAX_AGE_MS),
         },
-        entries_max_age_ms: view_ms(
-            shrunk_room_ms,
+        entries_max_age_ms: max_age_ms(
+            shrink_effective_ms,
             default.start_window_ms,
-            LEAST_ENTRIES_VIEW_MS,
+            MIN_ENTRIES_MAX_AGE_MS,
         ),
         holder_gap_ms: fields.bound_ms("bounds.lease_ms", 1.0, 3_000)? + HOLDER_MARGIN_MS,
         ..default
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! Client of the platform's key-value store.
 
 use super::http::{
     CallFailure,
@@ -27,23 +27,23 @@
 };
 use std::rc::Rc;
 
-/// Where the operator keeps the newest configuration.
+/// The key of the operator's newest configuration.
 pub const CONFIGURATION_KEY: &str = "op/config";
-/// Under which the operator writes.
+/// The prefix of all keys that the operator writes.
 pub const OPERATOR_PREFIX: &str = "op/";
-/// Where the operator asks for upkeep, by the number of the wave.
+/// The prefix of the operator's orders for upkeep; the wave's number follows.
 pub const WAVES_PREFIX: &str = "op/wave/";
-/// Where the operator asks that a data centre gets no new tasks, by its name;
-/// the wire calls that an evacuation, though what runs there may end.
+/// The prefix of the operator's orders to give a data centre no new tasks; its name
+/// follows. The protocol calls this an evacuation, although running tasks may finish.
 pub const EMPTYING_PREFIX: &str = "op/evacuate/";
-/// Under which the operator reads how far waves are.
+/// The prefix of the wave states that the operator reads.
 pub const WAVE_STATES_PREFIX: &str = "status/wave/";
-/// Under which workers register themselves.
+/// The prefix under which workers register themselves.
 pub const WORKERS_PREFIX: &str = "servers/";
 
-/// Bound on a call: the store answers in 4 ms, and in some 300 ms on a slow day.
-const CALL_LIMIT_MS: u64 = 1_000;
-/// What a waiting watch may take beyond its wait.
+/// Timeout of a call. The store usually answers in 4 ms, and in some 300 ms when it is slow.
+const CALL_TIMEOUT_MS: u64 = 1_000;
+/// Time that a watch may take in addition to its wait.
 const WATCH_SLACK_MS: u64 = 700;
 
 #[derive(Deserialize)]
@@ -121,11 +121,11 @@
 }
 
 impl ItemBody {
-    /// The item with its value. One that is not base64 is empty, which reads as
-    /// nothing that is ever stored: the others of its page or event hold.
+    /// Decodes the value. One that is not base64 becomes empty, which is no valid value of
+    /// any key, so that the other items of the same answer can still be used.
     fn into_item(self) -> StoredItem {
         let text = self.value.unwrap_or_default();
-        let text = bounded(&self.key, text.as_bytes());
+        let text = truncated(&self.key, text.as_bytes());
         let value = BASE64_STANDARD.decode(text).unwrap_or_else(|_| {
             metrics::counter!("fuchsiaslip_store_values_unread_total").increment(1);
             Vec::new()
@@ -138,21 +138,21 @@
     }
 }
 
-/// As much of a value's base64 as is kept. Of a worker's entry that is too long
-/// to be one, just so much that this shows: a tenth of a large fleet's entries at
-/// a megabyte each would not fit into a VM's memory.
-fn bounded<'a>(key: &str, text: &'a [u8]) -> &'a [u8] {
-    const BYTES_IN: usize = 3;
-    const BYTES_OUT: usize = 4;
-    let most = (MAX_ENTRY_BYTES / BYTES_IN + 1) * BYTES_OUT;
+/// Returns the part of a value's base64 that is decoded. An oversized worker's entry is cut
+/// just above the limit, where it is still recognized as too long: if a tenth of a large
+/// fleet's entries had a megabyte each, they would not fit into a VM's memory.
+fn truncated<'a>(key: &str, text: &'a [u8]) -> &'a [u8] {
+    const BYTES_PER_BLOCK: usize = 3;
+    const CHARS_PER_BLOCK: usize = 4;
+    let max_length = (MAX_ENTRY_BYTES / BYTES_PER_BLOCK + 1) * CHARS_PER_BLOCK;
     match key.starts_with(WORKERS_PREFIX) {
-        true => &text[..text.len().min(most)],
+        true => &text[..text.len().min(max_length)],
         false => text,
     }
 }
 
-/// A text for the query of a call. Keys of other writers may hold what ends a
-/// query or its field: unescaped, the page after such a key is never found.
+/// Escapes a string for the query of a URL. Keys of other writers may contain characters
+/// that end a query or one of its fields, and the page after such a key would not be found.
 fn query_text(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -165,7 +165,7 @@
     escaped
 }
 
-/// The client of the store; lives on one thread.
+/// Client of the store. It stays on one thread.
 #[derive(Clone)]
 pub struct StoreClient {
     http: HttpClient,
@@ -173,7 +173,7 @@
 }
 
 impl StoreClient {
-    /// Opens the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn open(http: HttpClient, address: &str) -> Self {
         Self {
             http,
@@ -185,38 +185,39 @@
         format!("http://{}/-/{call}", self.address)
     }
 
-    /// Reads a value; linearizable.
+    /// Reads a value linearizably. Returns `None` if the key does not exist.
     ///
     /// # Errors
     ///
     /// The store refused or did not answer.
     pub async fn get(&self, key: &str) -> Result<Option<StoredItem>, StoreError> {
         let url = self.url(&format!("kv-key?key={}", query_text(key)));
-        let answer = self.http.call(Method::GET, url, &[], None, CALL_LIMIT_MS);
-        let (status, body) = answered(answer.await)?;
+        let answer = self.http.call(Method::GET, url, &[], None, CALL_TIMEOUT_MS);
+        let (status, body) = received(answer.await)?;
         match status {
             StatusCode::OK => Ok(Some(decode::<ItemBody>(&body)?.into_item())),
             StatusCode::NOT_FOUND => Ok(None),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 
-    /// Asks for a sign of life, with the cheapest of calls.
+    /// Checks with the cheapest call whether the store answers.
     ///
     /// # Errors
     ///
-    /// The store refused or did not answer within `limit_ms`.
-    pub async fn probe(&self, limit_ms: u64) -> Result<(), StoreError> {
+    /// The store refused or did not answer within `timeout_ms`.
+    pub async fn probe(&self, timeout_ms: u64) -> Result<(), StoreError> {
         let url = self.url("kv-key?key=probe&serializable=1");
-        let answer = self.http.call(Method::GET, url, &[], None, limit_ms);
-        match answered(answer.await)?.0 {
+        let answer = self.http.call(Method::GET, url, &[], None, timeout_ms);
+        match received(answer.await)?.0 {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 
-    /// Reads the values under `prefix`, page by page. The pages are not a
-    /// snapshot: a watch from the revision returned shows what changed since.
+    /// Reads the values under `prefix`, page by page. The pages are not a snapshot: a watch
+    /// from the returned revision shows what has changed meanwhile. If `stale`, the values
+    /// need not be the newest ones.
     ///
     /// # Errors
     ///
@@ -234,10 +235,10 @@
             }
             let answer = self
                 .http
-                .call(Method::GET, self.url(&call), &[], None, CALL_LIMIT_MS);
-            let (status, body) = answered(answer.await)?;
+                .call(Method::GET, self.url(&call), &[], None, CALL_TIMEOUT_MS);
+            let (status, body) = received(answer.await)?;
             if status != StatusCode::OK {
-                return Err(refused(status));
+                return Err(failure_of(status));
             }
             let page: RangeBody = decode(&body)?;
             if range.items.is_empty() && after.is_empty() {
@@ -248,14 +249,14 @@
                 .extend(page.items.into_iter().map(ItemBody::into_item));
             match range.items.last() {
                 Some(last) if page.has_more && last.key > after => after.clone_from(&last.key),
-                // A page that does not go on would be read for ever.
+                // After a page that does not advance, the loop would never end.
                 Some(_) if page.has_more => return Err(StoreError::NoAnswer),
                 _ => return Ok(range),
             }
         }
     }
 
-    /// Waits for changes under `prefix` after `revision`.
+    /// Waits up to `wait_ms` for changes under `prefix` after `revision`.
     ///
     /// # Errors
     ///
@@ -268,16 +269,16 @@
     ) -> Result<WatchResult, StoreError> {
         let prefix = query_text(prefix);
         let call = format!("kv-watch?prefix={prefix}&after={revision}&wait_ms={wait_ms}");
-        let limit_ms = wait_ms + WATCH_SLACK_MS;
+        let timeout_ms = wait_ms + WATCH_SLACK_MS;
         let answer = self
             .http
-            .call(Method::GET, self.url(&call), &[], None, limit_ms);
+            .call(Method::GET, self.url(&call), &[], None, timeout_ms);
         let answer = answer.await;
         if answer == Err(CallFailure::TooLarge) {
-            // Asked again, it would be as long: pages are bounded.
+            // A repeated watch would be as long, whereas the pages of a range are bounded.
             return Ok(WatchResult::HistoryGone);
         }
-        let (status, body) = answered(answer)?;
+        let (status, body) = received(answer)?;
         match status {
             StatusCode::OK => {
                 let body: WatchBody = decode(&body)?;
@@ -296,7 +297,7 @@
                 })
             }
             StatusCode::GONE => Ok(WatchResult::HistoryGone),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 
@@ -306,11 +307,11 @@
     ///
     /// The store refused or did not answer.
     pub async fn commit(&self, transaction: &Transaction) -> Result<CommitResult, StoreError> {
-        self.commit_within(transaction, CALL_LIMIT_MS).await
+        self.commit_within(transaction, CALL_TIMEOUT_MS).await
     }
 
-    /// Carries out a transaction; without an answer in `limit_ms`, its outcome is
-    /// not known.
+    /// Carries out a transaction. Without an answer within `timeout_ms`, its outcome is
+    /// unknown.
     ///
     /// # Errors
     ///
@@ -318,7 +319,7 @@
     pub async fn commit_within(
         &self,
         transaction: &Transaction,
-        limit_ms: u64,
+        timeout_ms: u64,
     ) -> Result<CommitResult, StoreError> {
         let expected = transaction.expected.iter();
         let puts = transaction.puts.iter();
@@ -338,28 +339,31 @@
                 .collect(),
             remove: &transaction.removed,
         };
-        let answer = self
-            .http
-            .post(self.url("kv-txn"), &[], &body, limit_ms.min(CALL_LIMIT_MS));
-        let (status, body) = answered(answer.await)?;
+        let answer = self.http.post(
+            self.url("kv-txn"),
+            &[],
+            &body,
+            timeout_ms.min(CALL_TIMEOUT_MS),
+        );
+        let (status, body) = received(answer.await)?;
         match status {
             StatusCode::OK => Ok(CommitResult::Done {
                 revision: decode::<RevisionBody>(&body)?.revision,
             }),
             StatusCode::PRECONDITION_FAILED => {
                 let items = decode::<ConflictBody>(&body)?.items.into_iter();
-                // A key that does not exist may be shown with revision 0.
+                // A key that does not exist may be listed with revision 0.
                 let items = items.filter(|item| item.revision > 0 && !item.deleted);
                 Ok(CommitResult::Conflict(
                     items.map(ItemBody::into_item).collect(),
                 ))
             }
             StatusCode::NOT_FOUND => Ok(CommitResult::LeaseOver),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 
-    /// Takes a lease.
+    /// Grants a lease of `ttl_ms` and returns its ID.
     ///
     /// # Errors
     ///
@@ -368,39 +372,41 @@
         let body = TtlBody { ttl_ms };
         let answer = self
             .http
-            .post(self.url("kv-lease"), &[], &body, CALL_LIMIT_MS);
-        let (status, body) = answered(answer.await)?;
+            .post(self.url("kv-lease"), &[], &body, CALL_TIMEOUT_MS);
+        let (status, body) = received(answer.await)?;
         match status {
             StatusCode::OK => Ok(decode::<LeaseBody>(&body)?.lease),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 
-    /// Renews a lease; `false` when it is over.
+    /// Renews a lease. Returns `false` if it has expired.
     ///
     /// # Errors
     ///
     /// The store refused or did not answer.
     pub async fn keep_lease(&self, lease: u64) -> Result<bool, StoreError> {
         let url = self.url(&format!("kv-keep/{lease}"));
-        let answer = self.http.call(Method::POST, url, &[], None, CALL_LIMIT_MS);
-        let (status, _) = answered(answer.await)?;
+        let answer = self
+            .http
+            .call(Method::POST, url, &[], None, CALL_TIMEOUT_MS);
+        let (status, _) = received(answer.await)?;
         match status {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            other => Err(refused(other)),
+            other => Err(failure_of(other)),
         }
     }
 }
 
-/// The data centre that a key under [`EMPTYING_PREFIX`] names; the value says
-/// nothing.
+/// Returns the data centre that a key under [`EMPTYING_PREFIX`] names; the value of the key
+/// has no meaning.
 pub fn emptied_data_centre(key: &str) -> Option<&str> {
     let name = key.strip_prefix(EMPTYING_PREFIX)?;
     (!name.is_empty()).then_some(name)
 }
 
-fn answered(
+fn received(
     answer: Result<(StatusCode, Bytes), CallFailure>,
 ) -> Result<(StatusCode, Bytes), StoreError> {
     answer.map_err(|failure| match failure {
@@ -409,7 +415,7 @@
     })
 }
 
-fn refused(status: StatusCode) -> StoreError {
+fn failure_of(status: StatusCode) -> StoreError {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => StoreError::Refused,
         status if status.is_client_error() => StoreError::Refused,
@@ -420,7 +426,7 @@
 fn decode<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| {
         metrics::counter!("fuchsiaslip_store_answers_unread_total").increment(1);
-        log::debug!("an answer of the store does not read: {error}");
+        log::debug!("cannot decode an answer of the store: {error}");
         StoreError::NoAnswer
     })
 }
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -1,4 +1,4 @@
-//! Calls to workers and to the policy that decides on them.
+//! Client of the workers and of the external placement policy.
 
 use super::http::HttpClient;
 use crate::scheduler::{
@@ -20,14 +20,14 @@
 };
 use std::sync::Arc;
 
-/// Bound on an order: a worker answers in a few milliseconds, so this much
-/// silence is a lost answer, and an order is sent again within the time that
-/// the members of a gang wait for each other.
-const ORDER_LIMIT_MS: u64 = 450;
-/// What a poll may take beyond its wait.
+/// Timeout of an order. A worker answers within a few milliseconds, so an answer that takes
+/// longer than this is lost. The order can then be sent again within the time that the
+/// members of a gang wait for each other.
+const ORDER_TIMEOUT_MS: u64 = 450;
+/// Time that a poll may take in addition to its wait.
 const POLL_SLACK_MS: u64 = 600;
-/// Bound on a question to the policy outside.
-const ADVICE_LIMIT_MS: u64 = 3_000;
+/// Timeout of a request to the external policy.
+const ADVICE_TIMEOUT_MS: u64 = 3_000;
 const INCARNATION_HEADER: &str = "Expected-Instance";
 
 #[derive(Serialize)]
@@ -73,7 +73,7 @@
     workers: Vec<&'a str>,
 }
 
-/// Work unit, run, saved, percent, and where it is told its use.
+/// Task, run, checkpoint, progress in percent and, if reported, usage.
 #[derive(Deserialize)]
 struct RunningBody(
     String,
@@ -83,14 +83,14 @@
     #[serde(default)] Option<f64>,
 );
 
-/// Number, work unit, run, how, saved.
+/// Number of the end, task, run, kind of the end, checkpoint.
 #[derive(Deserialize)]
 struct EndedBody(u64, String, u64, String, #[serde(default)] Option<String>);
 
 #[derive(Deserialize)]
 struct PollAnswerBody {
     clock_ms: u64,
-    /// When the worker started, since the Unix epoch.
+    /// When the worker started, in milliseconds since the Unix epoch.
     #[serde(default)]
     born: Option<u64>,
     #[serde(default)]
@@ -111,14 +111,14 @@
     approved: Vec<(String, String)>,
 }
 
-/// The client of workers; lives on one thread.
+/// Client of the workers. It stays on one thread.
 #[derive(Clone)]
 pub struct WorkerClient {
     http: HttpClient,
 }
 
 impl WorkerClient {
-    /// Opens the client.
+    /// Creates a client.
     pub fn open(http: HttpClient) -> Self {
         Self { http }
     }
@@ -164,7 +164,7 @@
         self.order(address, worker_name, "run-stop", &body).await
     }
 
-    /// Limits a run to a share of its full speed.
+    /// Limits a run to `percent` of its full speed.
     pub async fn throttle(
         &self,
         address: &str,
@@ -191,19 +191,20 @@
     ) -> CallOutcome {
         let url = format!("http://{address}/-/{call}");
         let headers = [(INCARNATION_HEADER, worker_name)];
-        match self.http.post(url, &headers, body, ORDER_LIMIT_MS).await {
+        match self.http.post(url, &headers, body, ORDER_TIMEOUT_MS).await {
             Ok((status, body)) => outcome_of(status, &body),
-            // A connection that did not open may also mean that the opening
-            // packet is still under way; nothing of the order was sent.
+            // `NotSent` counts as no answer too: nothing of the order was sent, but the
+            // packet that opens the connection may still be in flight.
             Err(_) => CallOutcome::NoAnswer,
         }
     }
 
-    /// Polls a worker: renews its lease and asks what runs there.
+    /// Polls a worker: renews its lease and returns its runs and ends. The worker may hold
+    /// the poll open for `wait_ms`; `last_seen` acknowledges ends up to this number.
     ///
     /// # Errors
     ///
-    /// The worker refused or did not answer; never `Done`.
+    /// The worker refused or did not answer. The error is never `CallOutcome::Done`.
     pub async fn poll(
         &self,
         address: &str,
@@ -221,8 +222,8 @@
             wait_ms,
         };
         let headers = [(INCARNATION_HEADER, worker_name)];
-        let limit_ms = wait_ms + POLL_SLACK_MS;
-        let answer = self.http.post(url, &headers, &body, limit_ms).await;
+        let timeout_ms = wait_ms + POLL_SLACK_MS;
+        let answer = self.http.post(url, &headers, &body, timeout_ms).await;
         let (status, body) = answer.map_err(|_| CallOutcome::NoAnswer)?;
         if status != StatusCode::OK {
             return Err(outcome_of(status, &body));
@@ -233,8 +234,8 @@
         })
     }
 
-    /// Asks the policy at `address` which of the workers may run a step; the
-    /// approved ones come with their tickets. `None` when it does not answer.
+    /// Asks the policy at `address` which of the workers may run a step. Returns the
+    /// approved workers with their tickets, or `None` if the policy does not answer.
     pub async fn advise(
         &self,
         address: &str,
@@ -246,7 +247,7 @@
             workers: workers.iter().map(|worker| &**worker).collect(),
         };
         let url = format!("http://{address}/-/advise");
-        let answer = self.http.post(url, &[], &body, ADVICE_LIMIT_MS).await;
+        let answer = self.http.post(url, &[], &body, ADVICE_TIMEOUT_MS).await;
         let (status, body) = answer.ok()?;
         if status != StatusCode::OK {
             return None;
@@ -266,7 +267,7 @@
             CallOutcome::Refused(StartRefusal::Unhealthy)
         }
         StatusCode::CONFLICT => {
-            // An unknown reason is treated like the mildest: try elsewhere.
+            // An unknown reason is treated as the mildest: the start is tried elsewhere.
             let body: RefusalBody = serde_json::from_slice(body).unwrap_or_default();
             CallOutcome::Refused(match body.reason.as_str() {
                 "fence" => StartRefusal::Fenced,
@@ -283,7 +284,7 @@
 
 fn decode_poll(body: &[u8]) -> Option<PollReport> {
     let answer: PollAnswerBody = serde_json::from_slice(body)
-        .inspect_err(|error| log::debug!("a worker's answer does not read: {error}"))
+        .inspect_err(|error| log::debug!("cannot decode a worker's answer to a poll: {error}"))
         .ok()?;
     let name = |task: &str, run| {
         let task: TaskId = task.parse().ok()?;
@@ -313,8 +314,8 @@
     })
 }
 
-fn end_kind(word: &str) -> Option<EndKind> {
-    match word {
+fn end_kind(kind: &str) -> Option<EndKind> {
+    match kind {
         "done" => Some(EndKind::Done),
         "failed" => Some(EndKind::Failed),
         "stopped" => Some(EndKind::Stopped),
