--- a/src/bin/fuchsiaslip.rs
+++ b/src/bin/fuchsiaslip.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line program `fuchsiaslip`.
 
 use std::process::ExitCode;
 
--- a/src/bin/fuchsiaslipd.rs
+++ b/src/bin/fuchsiaslipd.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! The daemon `fuchsiaslipd`.
 
 use std::process::ExitCode;
 
