--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -1,8 +1,8 @@
-//! Reading the entries of a large fleet's workers: a clean list beside one of which
-//! a tenth names no worker to use, in turns within one run.
+//! Measures reading the entries of a large fleet's workers: a list of valid entries against
+//! one with a tenth of invalid entries, alternately in one run.
 //!
-//! `cargo bench --bench entries` prints lines `figure NAME VALUE`: the medians of
-//! both, of the decoder with what is told and of the whole reading over HTTP, and
+//! `cargo bench --bench entries` prints lines `figure NAME VALUE`: for decoding with the
+//! reports of invalid entries, and for reading over HTTP, the median time of each list and
 //! the median of the paired ratios.
 
 #[expect(dead_code, reason = "tests use the rest")]
@@ -34,7 +34,7 @@
 use std::time::Instant;
 
 const WORKERS: usize = 7_300;
-/// One entry of so many is bad.
+/// One entry in this many is invalid in the second list.
 const BAD_ONE_IN: usize = 10;
 const DECODED_PAIRS: usize = 150;
 const READ_PAIRS: usize = 40;
@@ -48,7 +48,7 @@
         "labels": ["a", format!("r{third}")], "clock_ms": 482113, "sequence": 4 })
 }
 
-/// An entry of about the usual length that names no worker to use.
+/// Returns an invalid entry of about the usual length.
 fn bad_entry(at: usize) -> Vec<u8> {
     let mut bad = entry(at);
     match at / BAD_ONE_IN % 8 {
@@ -79,23 +79,23 @@
     (0..WORKERS).map(item).collect()
 }
 
-fn elapsed_ms(began: Instant) -> f64 {
-    began.elapsed().as_secs_f64() * 1_000.0
+fn elapsed_ms(start: Instant) -> f64 {
+    start.elapsed().as_secs_f64() * 1_000.0
 }
 
-/// Reads a list as a new owner does: each entry is decoded, what cannot be used is
-/// told, and the scheduler takes it in.
+/// Handles a list as a new owner does: each entry is decoded, invalid ones are reported, and
+/// the scheduler handles the result. Returns the time in milliseconds.
 fn decode(items: &[StoredItem]) -> f64 {
     let mut scheduler = Scheduler::new(1, Tuning::default(), NOW_MS);
-    let mut unused = InvalidValueReporter::default();
-    let began = Instant::now();
+    let mut reporter = InvalidValueReporter::default();
+    let start = Instant::now();
     for item in items {
         let worker_name = item.key.strip_prefix(WORKERS_PREFIX).unwrap_or_default();
         let input = match decode_worker(worker_name, &item.value) {
             Ok(info) => Input::WorkerRegistered(info),
             Err(error) => {
                 let reason = error.reason();
-                unused.note(StoredKind::Worker, item, &error.into(), NOW_MS);
+                reporter.note(StoredKind::Worker, item, &error.into(), NOW_MS);
                 Input::WorkerEntryUnusable {
                     worker_name: worker_name.to_owned(),
                     reason,
@@ -104,22 +104,22 @@
         };
         scheduler.handle(input, NOW_MS);
     }
-    elapsed_ms(began)
+    elapsed_ms(start)
 }
 
-/// Reads a list from a store, and decodes it.
+/// Reads a list from a store and decodes it. Returns the time in milliseconds.
 async fn read(store: &StoreClient, prefix: &str) -> f64 {
-    let began = Instant::now();
+    let start = Instant::now();
     let range = store.range(prefix, true).await;
     let range = range.expect("the stand-in answers");
     assert_eq!(range.items.len(), WORKERS);
-    let mut read = 0;
+    let mut valid = 0;
     for item in &range.items {
-        read += usize::from(decode_worker("w", &item.value).is_ok());
+        valid += usize::from(decode_worker("w", &item.value).is_ok());
     }
-    let took_ms = elapsed_ms(began);
-    assert!(read >= WORKERS - WORKERS / BAD_ONE_IN);
-    took_ms
+    let read_ms = elapsed_ms(start);
+    assert!(valid >= WORKERS - WORKERS / BAD_ONE_IN);
+    read_ms
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -127,17 +127,17 @@
     values[values.len() / 2]
 }
 
-fn show(what: &str, pairs: &[(f64, f64)]) {
+fn print_figures(name: &str, pairs: &[(f64, f64)]) {
     let clean = median(pairs.iter().map(|(clean, _)| *clean).collect());
     let bad = median(pairs.iter().map(|(_, bad)| *bad).collect());
     let ratio = median(pairs.iter().map(|(clean, bad)| bad / clean).collect());
-    println!("figure {what}_clean_ms {clean:.3}");
-    println!("figure {what}_tenth_bad_ms {bad:.3}");
-    println!("figure {what}_paired_ratio {ratio:.3}");
+    println!("figure {name}_clean_ms {clean:.3}");
+    println!("figure {name}_tenth_bad_ms {bad:.3}");
+    println!("figure {name}_paired_ratio {ratio:.3}");
 }
 
-/// Both in turns, each first every other time.
-fn paired(count: usize, mut measure: impl FnMut(bool) -> f64) -> Vec<(f64, f64)> {
+/// Measures both lists `count` times; which one goes first alternates.
+fn measure_pairs(count: usize, mut measure: impl FnMut(bool) -> f64) -> Vec<(f64, f64)> {
     let mut pair = |at: usize| match at.is_multiple_of(2) {
         true => {
             let clean = measure(false);
@@ -148,7 +148,7 @@
             (measure(false), bad)
         }
     };
-    // The first ones warm up.
+    // The first pairs warm up and are dropped.
     let warm_up = count / 10;
     let all = (0..count + warm_up).map(&mut pair);
     all.skip(warm_up).collect()
@@ -156,10 +156,10 @@
 
 fn main() {
     let (clean, bad) = (items(false), items(true));
-    let pairs = paired(DECODED_PAIRS, |is_bad| {
+    let pairs = measure_pairs(DECODED_PAIRS, |is_bad| {
         decode(if is_bad { &bad } else { &clean })
     });
-    show("decoded", &pairs);
+    print_figures("decoded", &pairs);
 
     let operator = Operator::spawn(0);
     for (prefix, items) in [("clean/", &clean), ("tenth/", &bad)] {
@@ -175,9 +175,9 @@
         let timer = Timer::spawn().expect("a timer");
         StoreClient::open(HttpClient::open(timer), &address)
     });
-    let pairs = paired(READ_PAIRS, |is_bad| {
+    let pairs = measure_pairs(READ_PAIRS, |is_bad| {
         let prefix = if is_bad { "tenth/" } else { "clean/" };
         system.block_on(read(&store, prefix))
     });
-    show("read", &pairs);
+    print_figures("read", &pairs);
 }
--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -1,11 +1,11 @@
-//! Failover of the owner on an operator's platform: real daemons as processes
-//! beside a stand-in, a steady stream of short jobs, and the owner killed,
-//! frozen, cut off from the store or told to end again and again.
+//! Measures the failover of the owner on an operator's platform. Daemons run as processes
+//! next to a stand-in of the platform and receive a steady stream of short jobs.
 //!
-//! Prints, for each way and for a calm and a slow store, the time from the last
-//! start that the old owner gave to the first that its successor gave. Then all
-//! daemons are killed and started again, in fleets of several sizes.
-//! `cargo bench --bench failover -- herd` plays only that.
+//! First, all daemons are killed and restarted, in fleets of several sizes;
+//! `cargo bench --bench failover -- herd` measures only this. Then the owner is repeatedly
+//! killed, frozen, cut off from the store or terminated. For each fault, with a fast and a
+//! slow store, the benchmark prints the time from the last start that the old owner ordered
+//! to the first that the new owner ordered.
 
 #[expect(dead_code, reason = "tests use the rest")]
 #[path = "../tests/support/operator.rs"]
@@ -35,20 +35,20 @@
 };
 
 const DAEMONS: usize = 4;
-/// Sizes of the fleets of which all daemons are killed.
-const HERDS: [usize; 3] = [4, 30, 100];
+/// Sizes of the fleets whose daemons are all restarted.
+const RESTARTED_FLEETS: [usize; 3] = [4, 30, 100];
 const WORKERS: usize = 8;
-/// Changes of owner in each case; the p99 of so few is the longest but one.
+/// Changes of owner in each case, too few for a p99 other than one of the longest times.
 const CHANGES: u64 = 8;
-/// Time between jobs: the resolution of the figure.
-const JOB_EVERY: Duration = Duration::from_millis(15);
+/// Interval between jobs, which is the resolution of the measured times.
+const JOB_INTERVAL: Duration = Duration::from_millis(15);
 const RUN_MS: u64 = 20;
-/// Bound on waiting for a successor.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Calm before each change.
-const CALM: Duration = Duration::from_millis(800);
+/// Timeout for a new owner.
+const OWNER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time without faults before each change of owner.
+const TIME_BEFORE_FAULT: Duration = Duration::from_millis(800);
 
-/// What happens to the owner.
+/// A fault of the owner. Its name is part of the printed figures.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
     Killed,
@@ -75,11 +75,11 @@
                 Daemon::spawn(&format!("d{at}"), ip, links[at].address)
             })
             .collect();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + OWNER_TIMEOUT;
         let ready =
             || daemons.iter().all(Daemon::is_ready) && operator.world().value("owner").is_some();
         while !ready() && Instant::now() < until {
-            std::thread::sleep(JOB_EVERY);
+            std::thread::sleep(JOB_INTERVAL);
         }
         Self {
             operator,
@@ -89,47 +89,49 @@
         }
     }
 
-    /// The owner's place and epoch, by the store.
+    /// Returns the index of the owner's daemon and its epoch from the store.
     fn owner(&self) -> Option<(usize, u64)> {
         let root = self.operator.world().value("owner")?;
         let at = root["owner"].as_str()?.strip_prefix('d')?.parse().ok()?;
         Some((at, root["epoch"].as_u64()?))
     }
 
-    /// Hands a short job in at a daemon other than `but`.
-    fn submit(&mut self, but: usize) {
+    /// Submits a short job to a daemon other than `except`.
+    fn submit(&mut self, except: usize) {
         let body = json!({ "spec": RUN_MS.to_string(),
             "steps": [{ "count": 1, "cpu": 1000, "mem_mb": 100, "estimated_ms": RUN_MS }] });
         let count = self.daemons.len();
-        let at = (but + 1 + self.next_job as usize % (count - 1)) % count;
+        let at = (except + 1 + self.next_job as usize % (count - 1)) % count;
         let path = format!("/q/{:016x}", self.next_job);
         self.next_job += 1;
         self.daemons[at].request("POST", &path, &body.to_string());
     }
 
-    fn stream(&mut self, but: usize, time: Duration) {
+    /// Submits jobs to daemons other than `except` for a while.
+    fn submit_jobs(&mut self, except: usize, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            self.submit(but);
-            std::thread::sleep(JOB_EVERY);
+            self.submit(except);
+            std::thread::sleep(JOB_INTERVAL);
         }
     }
 
-    /// The gap in starts that one change of owner makes.
-    fn change(&mut self, fault: Fault) -> Option<Duration> {
+    /// Injects a fault into the owner, and returns the time without starts that the change of
+    /// owner causes. The fault is repaired afterwards.
+    fn change_owner(&mut self, fault: Fault) -> Option<Duration> {
         let (at, epoch) = self.owner()?;
-        self.stream(at, CALM);
+        self.submit_jobs(at, TIME_BEFORE_FAULT);
         match fault {
             Fault::Killed => self.daemons[at].kill(),
             Fault::Frozen => self.daemons[at].signal(Signal::STOP),
             Fault::CutFromStore => self.links[at].set_mode(LinkMode::Cut),
             Fault::ToldToEnd => self.daemons[at].signal(Signal::TERM),
         }
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + OWNER_TIMEOUT;
         let mut gap = None;
         while gap.is_none() && Instant::now() < until {
             self.submit(at);
-            std::thread::sleep(JOB_EVERY);
+            std::thread::sleep(JOB_INTERVAL);
             gap = self.gap(epoch);
         }
         match fault {
@@ -147,16 +149,16 @@
         gap
     }
 
-    /// The gap in starts when all daemons are killed and started again.
-    fn herd(&mut self) -> Option<Duration> {
+    /// Kills and restarts all daemons, and returns the time without starts that this causes.
+    fn restart_all(&mut self) -> Option<Duration> {
         let (at, epoch) = self.owner()?;
-        self.stream(at, CALM);
+        self.submit_jobs(at, TIME_BEFORE_FAULT);
         self.daemons.iter_mut().for_each(Daemon::kill);
         self.daemons.iter_mut().for_each(Daemon::start);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + OWNER_TIMEOUT;
         while Instant::now() < until {
             self.submit(at);
-            std::thread::sleep(JOB_EVERY);
+            std::thread::sleep(JOB_INTERVAL);
             if let Some(gap) = self.gap(epoch) {
                 return Some(gap);
             }
@@ -164,13 +166,13 @@
         None
     }
 
-    /// From the last start of an epoch to the first of a later one.
+    /// Returns the time from the last start up to an epoch to the first of a later epoch.
     fn gap(&self, epoch: u64) -> Option<Duration> {
         let world = self.operator.world();
         let starts = |later: bool| {
             let records = world.records.iter();
-            let own = records.filter(move |record| (record.epoch > epoch) == later);
-            own.map(|record| record.began)
+            let matching = records.filter(move |record| (record.epoch > epoch) == later);
+            matching.map(|record| record.began)
         };
         let first = starts(true).min()?;
         let last = starts(false).filter(|began| *began < first).max()?;
@@ -179,13 +181,13 @@
 }
 
 fn main() {
-    let only = std::env::args().any(|word| word == "herd");
-    for (at, count) in HERDS.into_iter().enumerate() {
+    let only_restarts = std::env::args().any(|argument| argument == "herd");
+    for (at, count) in RESTARTED_FLEETS.into_iter().enumerate() {
         let mut fleet = Fleet::spawn(210 + at as u8, count);
-        let gap = fleet.herd().map_or(-1, |gap| gap.as_millis() as i64);
+        let gap = fleet.restart_all().map_or(-1, |gap| gap.as_millis() as i64);
         println!("figure herd_of_{count}_gap_ms {gap}");
     }
-    if only {
+    if only_restarts {
         return;
     }
     let mut test = 220;
@@ -204,15 +206,15 @@
                 for link in &fleet.links {
                     link.set_mode(mode);
                 }
-                match fleet.change(fault) {
+                match fleet.change_owner(fault) {
                     Some(gap) => gaps.saturating_record(gap.as_millis() as u64),
                     None => missed += 1,
                 }
             }
             let name = format!("{fault:?}_{store}").to_lowercase();
-            let (p50, most) = (gaps.value_at_quantile(0.5), gaps.max());
+            let (p50, max) = (gaps.value_at_quantile(0.5), gaps.max());
             println!("figure failover_{name}_p50_ms {p50}");
-            println!("figure failover_{name}_max_ms {most}");
+            println!("figure failover_{name}_max_ms {max}");
             println!("figure failover_{name}_missed {missed}");
         }
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -34,11 +34,11 @@
     /// The daemon serves.
     DAEMON_STARTED = 100, Info, "the daemon serves callers and peers", "none";
     /// The daemon starts to drain.
-    DRAIN_STARTED = 101, Info, "the daemon accepts no new work and hands over what it has", "wait for 102";
+    DRAIN_STARTED = 101, Info, "the daemon accepts no new work and hands over what it has", "wait for E102";
     /// The daemon has drained.
     DRAIN_FINISHED = 102, Info, "everything is handed over; the process ends", "none";
     /// A second signal during the drain.
-    DRAIN_HURRIED = 103, Warn, "a second signal arrived while requests were in progress", "wait, or accept that the connections of the callers named will be closed";
+    DRAIN_HURRIED = 103, Warn, "a second signal arrived while requests were in progress", "wait, or accept that the callers of these requests will see a closed connection";
     /// The settings file was read again.
     SETTINGS_RELOADED = 104, Info, "the settings file was read again", "restart the daemon if the line says that changes need a restart";
     /// The settings file is invalid.
@@ -60,7 +60,7 @@
     /// A new owner has found out what runs.
     RECOVERY_OVER = 206, Info, "this owner knows which runs earlier owners started; stored work starts", "if it waited for seconds, check the workers that did not answer";
     /// A daemon took the next epoch but could not start as owner.
-    TAKEOVER_INCOMPLETE = 207, Warn, "this daemon took the next epoch but could not start as owner; unless another daemon takes over first, it retries after the owner silence timeout", "check the key-value service and the network between it and this daemon's VM";
+    TAKEOVER_INCOMPLETE = 207, Warn, "this daemon took the next epoch but could not start as owner; unless another daemon takes over first, it retries after the timeout for an unresponsive owner", "check the key-value service and the network between it and this daemon's VM";
     /// The store answers again.
     STORE_BACK = 210, Info, "the key-value service answers again", "none";
     /// The store does not answer.
--- a/src/platform/registration.rs
+++ b/src/platform/registration.rs
@@ -101,7 +101,8 @@
     /// The address cannot be called.
     #[error("the address cannot be called; write IP:PORT")]
     Address,
-    /// There are no or too many labels, or one is blank, too long or has control characters.
+    /// There are no or too many labels, or one is blank, too long or has control
+    /// characters.
     #[error("the labels are missing or malformed; write the worker's kind and rack")]
     Labels,
     /// A number is out of range.
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -41,7 +41,7 @@
 /// The prefix under which workers register themselves.
 pub const WORKERS_PREFIX: &str = "servers/";
 
-/// Timeout of a call. The store usually answers in 4 ms, and in some 300 ms when it is slow.
+/// Timeout of a call. The store answers in about 4 ms, or some 300 ms when it is slow.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// Time that a watch may take in addition to its wait.
 const WATCH_SLACK_MS: u64 = 700;
@@ -152,7 +152,7 @@
 }
 
 /// Escapes a string for the query of a URL. Keys of other writers may contain characters
-/// that end a query or one of its fields, and the page after such a key would not be found.
+/// that end a query or one of its fields; the page after such a key would not be found.
 fn query_text(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings on an operator's platform, and what a person sees of a fleet.
+//! Tests of the platform's settings and configuration, and of the command that shows a
+//! fleet.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/operator.rs"]
@@ -20,14 +21,18 @@
 use serde_json::json;
 use std::process::Command;
 
-const RIGHT: &str = "node_name=d1\nip=127.0.0.1\nzone=z\nnew.field=1,2\n\
+const VALID_SETTINGS: &str = "node_name=d1\nip=127.0.0.1\nzone=z\nnew.field=1,2\n\
     listen_addresses.frontend=127.0.0.1:8521\nlisten_addresses.readiness=127.0.0.1:8523\n\
     internal_port_range=7000,7015\nplatform.address=127.0.0.1:8524\n\
     limits.cpu_share=0.25\nlimits.cores=2\nbounds.max_hold_ms=3000\nbounds.status_s=60\n";
 
-fn with(field: &str, value: &str) -> String {
-    let kept = RIGHT.lines().filter(|line| !line.starts_with(field));
-    let mut text: String = kept.map(|line| format!("{line}\n")).collect();
+/// Returns the valid settings with another value of a field, or without it if `value` is
+/// empty.
+fn with_field(field: &str, value: &str) -> String {
+    let other_lines = VALID_SETTINGS
+        .lines()
+        .filter(|line| !line.starts_with(field));
+    let mut text: String = other_lines.map(|line| format!("{line}\n")).collect();
     if !value.is_empty() {
         text.push_str(&format!("{field}={value}\n"));
     }
@@ -35,15 +40,15 @@
 }
 
 #[test]
-fn settings_give_addresses_and_bounds_and_pass_over_what_is_new() {
-    let settings = read_settings(RIGHT).unwrap();
+fn settings_give_addresses_and_bounds_and_ignore_unknown_fields() {
+    let settings = read_settings(VALID_SETTINGS).unwrap();
 
     assert_eq!(settings.peer_address.port(), 7_000);
     assert_eq!(settings.metrics_address.port(), 7_001);
     assert_eq!(settings.cpu_millis, 500);
     assert_eq!(
         settings.tuning.lease_ms, 3_000,
-        "no longer than workers hold"
+        "no longer than the longest lease that workers accept"
     );
     assert_eq!(settings.tuning.retention_ms, 90_000);
     assert_eq!(
@@ -51,33 +56,33 @@
         u64::MAX,
         "no bound is set on orders to empty a data centre"
     );
-    let bounded = read_settings(&with("bounds.evacuation_ms", "5000")).unwrap();
+    let bounded = read_settings(&with_field("bounds.evacuation_ms", "5000")).unwrap();
     assert_eq!(
         bounded.tuning.orders_max_age_ms, 3_363,
-        "what is left of the bound for a start that is carried out late"
+        "the bound less the time in which a start may still be carried out"
     );
     assert_eq!(
         settings.tuning.entries_max_age_ms, 2_863,
-        "the same of 3,000 ms and a heartbeat, where neither is named"
+        "the same for a bound of 3,000 ms and a heartbeat of 1,500 ms, the defaults"
     );
-    let slower = read_settings(&with("heartbeat_interval_ms", "2500")).unwrap();
+    let slower = read_settings(&with_field("heartbeat_interval_ms", "2500")).unwrap();
     assert_eq!(slower.tuning.entries_max_age_ms, 3_863);
-    let shorter = read_settings(&with("bounds.contact_ms", "500")).unwrap();
+    let shorter = read_settings(&with_field("bounds.contact_ms", "500")).unwrap();
     assert_eq!(
         shorter.tuning.entries_max_age_ms, 2_000,
-        "no less than it takes to hear of entries"
+        "no less than the time that an owner takes to learn of entries"
     );
 }
 
 #[test]
-fn wrong_settings_name_the_field_and_what_would_do() {
+fn invalid_settings_name_the_field() {
     let problem = |text: &str| read_settings(text).unwrap_err();
 
     assert_eq!(
-        problem(&with("platform.address", "")),
+        problem(&with_field("platform.address", "")),
         SettingsError::Missing("platform.address")
     );
-    let wrong = [
+    let invalid = [
         ("ip", "here"),
         ("internal_port_range", "7000"),
         ("internal_port_range", "7000,7000"),
@@ -87,40 +92,41 @@
         ("limits.cpu_share", "NaN"),
         ("bounds.evacuation_ms", "never"),
     ];
-    for (field, value) in wrong {
-        let problem = problem(&with(field, value));
-        let told = matches!(&problem, SettingsError::Malformed { field: own, .. } if *own == field);
-        assert!(told, "{field}={value}: {problem}");
+    for (field, value) in invalid {
+        let problem = problem(&with_field(field, value));
+        let is_named =
+            matches!(&problem, SettingsError::Malformed { field: own, .. } if *own == field);
+        assert!(is_named, "{field}={value}: {problem}");
     }
 }
 
 #[test]
 fn the_daemon_checks_its_settings_without_starting() {
     let path = std::env::temp_dir().join(format!("fuchsiaslip-check-{}", std::process::id()));
-    let check = |text: &str| {
-        std::fs::write(&path, text).unwrap();
+    let check = |settings: &str| {
+        std::fs::write(&path, settings).unwrap();
         let output = Command::new(env!("CARGO_BIN_EXE_fuchsiaslipd"))
             .args(["--platform", "--check"])
             .env("FUCHSIASLIP_BOOT", &path)
             .output()
             .unwrap();
-        let said = [output.stdout, output.stderr].concat();
-        (output.status.success(), String::from_utf8(said).unwrap())
+        let text = [output.stdout, output.stderr].concat();
+        (output.status.success(), String::from_utf8(text).unwrap())
     };
 
-    let right = check(RIGHT);
-    let wrong = check(&with("zone", ""));
+    let valid = check(VALID_SETTINGS);
+    let invalid = check(&with_field("zone", ""));
     std::fs::remove_file(&path).unwrap();
 
     assert!(
-        right.0 && right.1.contains("the settings are right"),
-        "{right:?}"
+        valid.0 && valid.1.contains("the settings are right"),
+        "{valid:?}"
     );
-    assert!(!wrong.0 && wrong.1.contains("lack zone"), "{wrong:?}");
+    assert!(!invalid.0 && invalid.1.contains("lack zone"), "{invalid:?}");
 }
 
 #[test]
-fn a_person_sees_the_fleet_and_a_job_without_a_daemon() {
+fn the_fleet_command_shows_the_fleet_and_a_job_without_a_daemon() {
     let operator = Operator::spawn(1);
     operator.world().configure(1, &[("q", 1)], 5);
     let mut daemon = Daemon::spawn("d0", loopback(8, 0), operator.store);
@@ -155,27 +161,27 @@
     assert_eq!(show(&["nothing"]).0, Some(2), "wrong usage");
 }
 
-/// Whose workers guard their room is the platform's word; where it is left out they do
-/// not.
+/// Guards against overfilling workers that do not check their own capacity. The platform
+/// says which services reject overload; a service for which it says nothing does not.
 #[test]
-fn services_without_a_guard_are_told() {
+fn services_that_do_not_reject_overload_are_listed() {
     let text = br#"{"version":3,"services":[{"name":"a","rejects_overload":true},
         {"name":"b","rejects_overload":false},{"name":"c"}]}"#;
 
-    let read = decode_configuration(text).expect("it reads");
+    let configuration = decode_configuration(text).expect("it can be decoded");
 
-    assert_eq!(read.unguarded_services, ["b", "c"]);
+    assert_eq!(configuration.unguarded_services, ["b", "c"]);
 }
 
-/// A whole configuration was passed over, since one queue's terms for advice left a
-/// field out: fields whose value is 0 are omitted on the wire.
+/// Guards against a whole configuration being ignored because the advice terms of one queue
+/// lack a field: fields whose value is 0 are omitted on the wire.
 #[test]
-fn a_configuration_may_omit_what_is_zero() {
+fn a_configuration_may_omit_fields_that_are_zero() {
     let text = br#"{"version":3,"routes":[{"name":"q","host":"h","prefix":"/q/","service":"s",
         "max_attempts":2,"recommendation":{"decision_ms":40,"validity_ms":3000}}]}"#;
 
-    let read = decode_configuration(text).expect("it reads");
+    let configuration = decode_configuration(text).expect("it can be decoded");
 
-    let advice = read.queues[0].advice.expect("terms for advice");
+    let advice = configuration.queues[0].advice.expect("terms for advice");
     assert_eq!((advice.decision_ms, advice.per_worker_ms), (40, 0));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,10 @@
-//! A soak of the daemons under drawn faults: real processes on loopback, beside
-//! a stand-in of the platform, behind links that can be harmed. The promises
-//! are checked from what callers and workers saw.
+//! A soak test of the daemons under random faults. Real processes run on loopback next to
+//! a stand-in of the platform, behind proxies that inject network faults. The guarantees
+//! are checked against what callers and workers observed.
 //!
-//! `SOAK_SEEDS=1-50 cargo test --release --test soak -- --nocapture` runs more
-//! seeds by hand; `SOAK_DAEMONS` and `SOAK_WORKERS` make the fleet larger.
+//! `SOAK_SEEDS=1-50 cargo test --release --test soak -- --nocapture` runs more seeds, and
+//! `SOAK_SEEDS=known` runs those that failed before; `SOAK_DAEMONS` and `SOAK_WORKERS` set
+//! the size of the fleet.
 
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/operator.rs"]
@@ -47,41 +48,41 @@
     UNIX_EPOCH, //
 };
 
-/// Bound on anything that a soak waits for once it is calm.
-const PATIENCE: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Bound on each wait of a soak after all faults are repaired.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const ROUNDS: u32 = 12;
-const ROUND: Duration = Duration::from_millis(500);
-/// Everything is mended after so many rounds.
-const ROUNDS_OF_TROUBLE: u32 = 3;
-const JOBS_A_ROUND: u64 = 3;
-/// Occurrences may begin this much before they are due.
+const ROUND_LENGTH: Duration = Duration::from_millis(500);
+/// All faults are repaired after this many rounds.
+const ROUNDS_PER_REPAIR: u32 = 3;
+const JOBS_PER_ROUND: u64 = 3;
+/// Occurrences may start this much before they are due.
 const EARLY_MS: u64 = 250;
 const MAX_ATTEMPTS: usize = 8;
-/// One job in so many crashes each worker that starts it.
+/// One in this many jobs crashes every worker that starts it.
 const CRASHING_ONE_IN: u32 = 8;
-/// A task is started twice more at most after three workers have crashed under it.
-const MOST_CRASHING_STARTS: usize = 5;
-/// A job may be given up after so many crashes under one of its tasks.
-const LEAST_CRASHES: usize = 2;
-/// A worker's room changes in one of so many rounds.
+/// Most starts of a task that crashes its workers: two more after the third crash.
+const MAX_CRASHING_STARTS: usize = 5;
+/// A job may be given up after this many crashes under one of its tasks.
+const MIN_CRASHES_TO_GIVE_UP: usize = 2;
+/// The capacity of a worker changes in one of this many rounds.
 const ROUNDS_PER_RESIZE: u32 = 2;
-/// Some workers restart in one of so many rounds.
+/// Some workers restart in one of this many rounds.
 const ROUNDS_PER_RESTART: u32 = 3;
-/// What a worker has usually.
+/// Accelerators of a worker whose capacity has not changed.
 const ACCELERATORS: u64 = 8;
-/// One round in so many begins with the owner cut off from the store.
+/// One in this many rounds starts with the owner cut off from the store.
 const OWNER_CUT_ONE_IN: u32 = 4;
 
-/// An order to empty a data centre has to be in force within this, whatever is
-/// harmed; the daemons' settings say the same.
+/// Time within which an order to empty a data centre must be in force under any faults;
+/// the daemons' settings have the same bound.
 const ORDER_BOUND: Duration = Duration::from_millis(5_000);
-/// The same while nothing is harmed: the bound that operators are told.
-const CALM_ORDER_BOUND: Duration = Duration::from_millis(2_000);
-/// Orders are drawn on their own, so that seeds draw the faults that they drew
-/// before there were orders.
+/// The same without faults: the bound that operators can rely on.
+const FAULTLESS_ORDER_BOUND: Duration = Duration::from_millis(2_000);
+/// Changes a seed into that of the emptying orders. They have their own random numbers, so
+/// that each seed still gives the same faults.
 const ORDERS_STREAM: u64 = 0x0d0e_0a0c;
-/// An order is given or taken back in one of so many rounds.
+/// An order is given or withdrawn in one of this many rounds.
 const ROUNDS_PER_ORDER: u32 = 3;
 
 /// An operators' order to empty a data centre.
@@ -89,12 +90,12 @@
 struct Order {
     data_centre: usize,
     given: Instant,
-    taken_back: Option<Instant>,
+    withdrawn: Option<Instant>,
 }
 
 const DATA_CENTRES: usize = 2;
 
-/// The data centre of a worker.
+/// Returns the data centre of a worker.
 fn data_centre_of(worker: usize) -> usize {
     worker % DATA_CENTRES
 }
@@ -103,55 +104,61 @@
     format!("z{data_centre}")
 }
 
-/// What a caller knows of a job that it sent.
+/// What a caller knows of a job that it submitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum SubmitOutcome {
     Accepted,
     Refused,
-    /// No answer, or one that says that nothing is known.
+    /// There was no answer, or one that leaves the outcome open.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
-    fate: Fate,
+struct SentJob {
+    outcome: SubmitOutcome,
     path: String,
     body: Value,
-    poison: bool,
+    /// Its tasks always fail.
+    failing: bool,
+    /// Its tasks crash their workers.
     crashing: bool,
-    /// A cancellation was sent.
+    /// A cancellation was requested.
     cancelling: bool,
-    /// It was acknowledged.
+    /// The cancellation was acknowledged.
     cancelled: bool,
 }
 
 struct Soak {
     seed: u64,
     random: StdRng,
-    /// Draws of its own, so that known seeds draw their other faults as before.
-    owner_cuts: StdRng,
-    /// Draws what another writer writes: beside the faults, which stay as they
-    /// were drawn for a seed.
-    other_writer: StdRng,
-    /// Draws which jobs crash workers and which workers shrink.
+    /// Decides when the owner is cut off. Like the generators below, it is separate so that
+    /// each seed still gives the same other faults.
+    owner_cut_random: StdRng,
+    /// Chooses what another writer writes to the store.
+    other_writer_random: StdRng,
+    /// Chooses the jobs that crash workers and the workers whose capacity changes.
     crash_random: StdRng,
-    /// Draws which workers restart, and whether under the names that they had.
+    /// Chooses the workers that restart and whether they keep their names.
     restart_random: StdRng,
     operator: Operator,
     store_links: Vec<Proxy>,
     worker_links: Vec<Proxy>,
     daemons: Vec<Daemon>,
     clients: Vec<KeptClient>,
+    /// Daemons that are stopped by a signal.
     paused: Vec<usize>,
-    ending: Vec<usize>,
+    /// Daemons that have received SIGTERM.
+    terminating: Vec<usize>,
+    /// Chooses the orders to empty data centres.
     order_random: StdRng,
     orders: Vec<Order>,
-    sent: BTreeMap<u64, Sent>,
+    sent: BTreeMap<u64, SentJob>,
 }
 
-fn sizes(name: &str, usual: usize) -> usize {
+/// Reads a size from the environment.
+fn size_from_env(name: &str, default: usize) -> usize {
     let given = std::env::var(name).ok();
-    given.map_or(usual, |text| text.parse().expect("a number"))
+    given.map_or(default, |text| text.parse().expect("a number"))
 }
 
 fn now_ms() -> u64 {
@@ -160,10 +167,13 @@
 }
 
 impl Soak {
-    fn begin(seed: u64) -> Self {
-        let (daemon_count, worker_count) = (sizes("SOAK_DAEMONS", 3), sizes("SOAK_WORKERS", 6));
+    fn spawn(seed: u64) -> Self {
+        let (daemon_count, worker_count) = (
+            size_from_env("SOAK_DAEMONS", 3),
+            size_from_env("SOAK_WORKERS", 6),
+        );
         let mut worker_links = Vec::new();
-        let operator = Operator::spawn_behind(worker_count, |_, address| {
+        let operator = Operator::spawn_with_links(worker_count, |_, address| {
             let link = Proxy::spawn(address);
             let address = link.address;
             worker_links.push(link);
@@ -174,8 +184,8 @@
             operator.world().place_worker(worker, &data_centre);
         }
         let queues = [("u", 0), ("q", 1)];
-        // Workers start whatever they are told to, so that what is too much shows.
-        operator.world().guarded = false;
+        // Workers accept every start, so that starts beyond their capacity are recorded.
+        operator.world().checks_capacity = false;
         operator.world().configure(1, &queues, MAX_ATTEMPTS);
         let store_links: Vec<Proxy> = (0..daemon_count)
             .map(|_| Proxy::spawn(operator.store))
@@ -191,8 +201,8 @@
         let soak = Self {
             seed,
             random: StdRng::seed_from_u64(seed),
-            owner_cuts: StdRng::seed_from_u64(!seed),
-            other_writer: StdRng::seed_from_u64(seed.rotate_left(32)),
+            owner_cut_random: StdRng::seed_from_u64(!seed),
+            other_writer_random: StdRng::seed_from_u64(seed.rotate_left(32)),
             crash_random: StdRng::seed_from_u64(seed.rotate_left(16)),
             restart_random: StdRng::seed_from_u64(seed.rotate_left(48)),
             operator,
@@ -201,7 +211,7 @@
             daemons,
             clients,
             paused: Vec::new(),
-            ending: Vec::new(),
+            terminating: Vec::new(),
             order_random: StdRng::seed_from_u64(seed ^ ORDERS_STREAM),
             orders: Vec::new(),
             sent: BTreeMap::new(),
@@ -213,27 +223,27 @@
     }
 
     fn wait_until(&self, what: &str, mut holds: impl FnMut() -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !holds() {
             let seed = self.seed;
             assert!(
                 Instant::now() < until,
-                "seed {seed}: waited in vain: {what}"
+                "seed {seed}: timed out waiting until {what}"
             );
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    fn daemon(&mut self) -> usize {
+    fn random_daemon(&mut self) -> usize {
         self.random.random_range(0..self.daemons.len())
     }
 
-    fn worker(&mut self) -> usize {
+    fn random_worker(&mut self) -> usize {
         self.random.random_range(0..self.worker_links.len())
     }
 
-    fn harm(&mut self) {
-        let (daemon, worker) = (self.daemon(), self.worker());
+    fn inject_fault(&mut self) {
+        let (daemon, worker) = (self.random_daemon(), self.random_worker());
         let fault = self.random.random_range(0..13u32);
         let mut world = self.operator.world();
         match fault {
@@ -248,15 +258,15 @@
             8 => world.register(worker, "draining"),
             _ => {
                 drop(world);
-                self.harm_process_or_link(daemon, worker);
+                self.inject_process_or_link_fault(daemon, worker);
             }
         }
     }
 
-    /// Cuts the owner off from the store alone: it goes on hearing of its workers
-    /// and can store nothing of it, until another daemon owns.
+    /// Sometimes cuts the owner off from the store only. It still receives the workers'
+    /// answers but can store nothing, until another daemon takes over.
     fn cut_owner_off(&mut self) {
-        if self.owner_cuts.random_range(0..OWNER_CUT_ONE_IN) != 0 {
+        if self.owner_cut_random.random_range(0..OWNER_CUT_ONE_IN) != 0 {
             return;
         }
         let root = self.operator.world().value("owner");
@@ -267,20 +277,21 @@
         }
     }
 
-    /// Another writer writes over entries and records, and beside them. Entries of
-    /// workers are mended with everything else, the others by their owner.
-    fn write_as_another(&mut self) {
-        let random = &mut self.other_writer;
-        let (at, other) = (
+    /// Writes a wrong value to the store as another writer may, over an existing key or under
+    /// a new one. Entries of workers are repaired with the other faults, and the owner
+    /// repairs its own records.
+    fn write_as_other_writer(&mut self) {
+        let random = &mut self.other_writer_random;
+        let (worker, other) = (
             random.random_range(0..self.worker_links.len()),
             random.random_range(0..self.worker_links.len()),
         );
-        let stray: u64 = random.random();
-        let sort = random.random_range(0..8u32);
+        let number: u64 = random.random();
+        let kind = random.random_range(0..8u32);
         let mut world = self.operator.world();
-        let key = world.worker_key(at);
-        match sort {
-            0 => world.put_bytes(&key, &stray.to_le_bytes()),
+        let key = world.worker_key(worker);
+        match kind {
+            0 => world.put_bytes(&key, &number.to_le_bytes()),
             1 => world.put_unencoded(&key),
             2 => {
                 let theirs = world.value(&world.worker_key(other));
@@ -291,15 +302,15 @@
                 entry["state"] = json!(null);
                 world.put(&key, &entry);
             }
-            4 => world.put(&format!("servers/{stray}&after=#%"), &json!([])),
-            5 => world.put_bytes(&format!("servers/{stray}"), &vec![b'['; 100_000]),
-            6 => world.put(&format!("jobs/{stray:x}/x"), &json!({})),
-            _ => world.put("roster", &json!({ "rows": stray })),
+            4 => world.put(&format!("servers/{number}&after=#%"), &json!([])),
+            5 => world.put_bytes(&format!("servers/{number}"), &vec![b'['; 100_000]),
+            6 => world.put(&format!("jobs/{number:x}/x"), &json!({})),
+            _ => world.put("roster", &json!({ "rows": number })),
         }
     }
 
-    /// A worker's room shrinks, or grows back.
-    fn resize_one(&mut self) {
+    /// Sometimes changes the capacity of a random worker.
+    fn resize_random_worker(&mut self) {
         if self.crash_random.random_range(0..ROUNDS_PER_RESIZE) > 0 {
             return;
         }
@@ -308,9 +319,9 @@
         self.operator.world().resize_worker(at, accelerators);
     }
 
-    /// Some workers, or all, crash at once and are back at once. In some rounds starts
-    /// get no answer and are carried out late.
-    fn restart_some(&mut self) {
+    /// Sometimes crashes some or all workers at the same moment; they restart at once. In
+    /// some rounds, some starts get no answer and are carried out late.
+    fn restart_random_workers(&mut self) {
         let random = &mut self.restart_random;
         let mut world = self.operator.world();
         world.keeps_names = random.random_bool(0.75);
@@ -324,14 +335,14 @@
         world.crash_workers(&crashing_workers);
     }
 
-    /// Gives an order to empty a data centre, or takes it back.
-    fn draw_order(&mut self) {
+    /// Sometimes gives an order to empty a data centre, or withdraws the one in force.
+    fn change_orders(&mut self) {
         if self.order_random.random_range(0..ROUNDS_PER_ORDER) > 0 {
             return;
         }
-        let open = self.orders.iter().any(|order| order.taken_back.is_none());
-        match open {
-            true => self.take_orders_back(),
+        let in_force = self.orders.iter().any(|order| order.withdrawn.is_none());
+        match in_force {
+            true => self.withdraw_orders(),
             false => {
                 let data_centre = self.order_random.random_range(0..DATA_CENTRES);
                 self.give_order(data_centre);
@@ -345,34 +356,35 @@
         self.orders.push(Order {
             data_centre,
             given: Instant::now(),
-            taken_back: None,
+            withdrawn: None,
         });
     }
 
-    fn take_orders_back(&mut self) {
-        let open = self.orders.iter_mut();
-        for order in open.filter(|order| order.taken_back.is_none()) {
-            // Starts from here on are none of its business.
-            order.taken_back = Some(Instant::now());
+    fn withdraw_orders(&mut self) {
+        let orders = self.orders.iter_mut();
+        for order in orders.filter(|order| order.withdrawn.is_none()) {
+            // The order does not forbid starts from here on.
+            order.withdrawn = Some(Instant::now());
             let name = data_centre_name(order.data_centre);
             self.operator.world().give_back(&name);
         }
     }
 
-    /// Empties each data centre in turn while nothing is harmed; jobs that come
-    /// meanwhile are done elsewhere.
-    fn empty_calmly(&mut self) {
+    /// Empties each data centre in turn without faults, and checks that jobs submitted
+    /// meanwhile are done in the other one.
+    fn empty_each_data_centre(&mut self) {
         for data_centre in 0..DATA_CENTRES {
             self.give_order(data_centre);
             let given = Instant::now();
-            std::thread::sleep(CALM_ORDER_BOUND);
-            for number in 0..JOBS_A_ROUND {
+            std::thread::sleep(FAULTLESS_ORDER_BOUND);
+            for number in 0..JOBS_PER_ROUND {
                 let round = u64::from(ROUNDS) + data_centre as u64;
-                self.submit(self.seed * 1_000 + round * JOBS_A_ROUND + number + 1);
+                self.submit(self.seed * 1_000 + round * JOBS_PER_ROUND + number + 1);
             }
-            self.settle();
-            self.take_orders_back();
-            let late = self.starts_after(data_centre, given + CALM_ORDER_BOUND, Instant::now());
+            self.wait_for_job_ends();
+            self.withdraw_orders();
+            let late =
+                self.starts_between(data_centre, given + FAULTLESS_ORDER_BOUND, Instant::now());
             assert!(
                 late.is_empty(),
                 "seed {}: started late: {late:#?}",
@@ -381,63 +393,63 @@
         }
     }
 
-    /// Runs that began in a data centre within a time.
-    fn starts_after(&self, data_centre: usize, from: Instant, until: Instant) -> Vec<RunRecord> {
+    /// Returns the runs that started in a data centre between two times.
+    fn starts_between(&self, data_centre: usize, from: Instant, until: Instant) -> Vec<RunRecord> {
         let world = self.operator.world();
-        let there = world.records.iter().filter(|run| {
+        let starts = world.records.iter().filter(|run| {
             data_centre_of(run.worker) == data_centre && run.began > from && run.began < until
         });
-        there.cloned().collect()
+        starts.cloned().collect()
     }
 
-    /// No order is broken after its bound.
+    /// Checks that no run started in an emptied data centre after the bound.
     fn check_orders(&self) {
         for order in &self.orders {
-            let until = order.taken_back.unwrap_or_else(Instant::now);
-            let late = self.starts_after(order.data_centre, order.given + ORDER_BOUND, until);
+            let until = order.withdrawn.unwrap_or_else(Instant::now);
+            let late = self.starts_between(order.data_centre, order.given + ORDER_BOUND, until);
             assert!(late.is_empty(), "seed {}: {order:?}: {late:#?}", self.seed);
         }
     }
 
-    fn harm_process_or_link(&mut self, daemon: usize, worker: usize) {
+    fn inject_process_or_link_fault(&mut self, daemon: usize, worker: usize) {
         let links = [&self.store_links[daemon], &self.worker_links[worker]];
         let link = links[self.random.random_range(0..links.len())];
         match self.random.random_range(0..8u32) {
             0 => link.set_mode(LinkMode::Slow),
             1 => link.set_mode(LinkMode::AnswersCut),
             2 => link.set_mode(LinkMode::Cut),
-            3 => link.silence_open(),
+            3 => link.stall_open(),
             4 => link.reset_open(),
             5 => {
                 self.daemons[daemon].kill();
                 self.daemons[daemon].start();
-                // Its new life was neither told to end nor paused.
-                self.ending.retain(|&at| at != daemon);
+                // The new process has not received a signal.
+                self.terminating.retain(|&at| at != daemon);
                 self.paused.retain(|&at| at != daemon);
             }
-            6 if !self.ending.contains(&daemon) => {
+            6 if !self.terminating.contains(&daemon) => {
                 self.daemons[daemon].signal(Signal::STOP);
                 self.paused.push(daemon);
             }
-            _ if !self.paused.contains(&daemon) && !self.ending.contains(&daemon) => {
+            _ if !self.paused.contains(&daemon) && !self.terminating.contains(&daemon) => {
                 self.daemons[daemon].signal(Signal::TERM);
-                self.ending.push(daemon);
+                self.terminating.push(daemon);
             }
             _ => {}
         }
     }
 
-    fn mend(&mut self) {
+    fn repair_faults(&mut self) {
         for at in self.paused.drain(..) {
             self.daemons[at].signal(Signal::CONT);
         }
-        for at in self.ending.drain(..) {
+        for at in self.terminating.drain(..) {
             self.daemons[at].wait();
             self.daemons[at].start();
         }
         for link in self.store_links.iter().chain(&self.worker_links) {
             link.set_mode(LinkMode::Passing);
-            // What was held up is lost with its connection.
+            // Bytes that a fault held back are lost with their connection.
             link.reset_open();
         }
         let mut world = self.operator.world();
@@ -450,7 +462,7 @@
         }
     }
 
-    fn draw_job(&mut self) -> (Value, bool) {
+    fn random_job(&mut self) -> (Value, bool) {
         let run_ms = self.random.random_range(50..1_500u64);
         let count = self.random.random_range(1..5u64);
         let step = |count: u64, accelerators: u64| {
@@ -477,31 +489,31 @@
             5 => body["spec"] = json!("poison"),
             _ => {}
         }
-        let poison = body["spec"] == "poison";
-        (body, poison)
+        let failing = body["spec"] == "poison";
+        (body, failing)
     }
 
     fn submit(&mut self, job: u64) {
-        let (mut body, poison) = self.draw_job();
-        let crashing = !poison && self.crash_random.random_range(0..CRASHING_ONE_IN) == 0;
+        let (mut body, failing) = self.random_job();
+        let crashing = !failing && self.crash_random.random_range(0..CRASHING_ONE_IN) == 0;
         if crashing {
             body["spec"] = json!("crash");
         }
         let queue = ["u", "q"][self.random.random_range(0..2)];
         let path = format!("/{queue}/{job:016x}");
-        let at = self.daemon();
+        let at = self.random_daemon();
         self.operator.world().note_job(job, &body);
         let answer = self.clients[at].request("POST", &path, &body.to_string());
-        let fate = match answer {
-            Answer::Status(200, _) => Fate::Accepted,
-            Answer::Status(429 | 503, _) => Fate::Refused,
-            _ => Fate::Unknown,
+        let outcome = match answer {
+            Answer::Status(200, _) => SubmitOutcome::Accepted,
+            Answer::Status(429 | 503, _) => SubmitOutcome::Refused,
+            _ => SubmitOutcome::Unknown,
         };
-        let sent = Sent {
-            fate,
+        let sent = SentJob {
+            outcome,
             path,
             body,
-            poison,
+            failing,
             crashing,
             cancelling: false,
             cancelled: false,
@@ -509,18 +521,18 @@
         self.sent.insert(job, sent);
     }
 
-    fn cancel_one(&mut self) {
+    fn cancel_random_job(&mut self) {
         let open: Vec<u64> = self
             .sent
             .iter()
-            .filter(|(_, sent)| sent.fate == Fate::Accepted && !sent.cancelling)
+            .filter(|(_, sent)| sent.outcome == SubmitOutcome::Accepted && !sent.cancelling)
             .map(|(job, _)| *job)
             .collect();
         if open.is_empty() {
             return;
         }
         let job = open[self.random.random_range(0..open.len())];
-        let at = self.daemon();
+        let at = self.random_daemon();
         let path = self.sent[&job].path.clone();
         let answer = self.clients[at].request("DELETE", &path, "");
         let sent = self.sent.get_mut(&job).expect("it was sent");
@@ -531,41 +543,41 @@
     fn run(&mut self) {
         for round in 0..ROUNDS {
             for _ in 0..self.random.random_range(1..3u32) {
-                self.harm();
+                self.inject_fault();
             }
             self.cut_owner_off();
-            self.write_as_another();
-            self.resize_one();
-            self.restart_some();
-            self.draw_order();
-            for number in 0..JOBS_A_ROUND {
-                let job = self.seed * 1_000 + u64::from(round) * JOBS_A_ROUND + number + 1;
+            self.write_as_other_writer();
+            self.resize_random_worker();
+            self.restart_random_workers();
+            self.change_orders();
+            for number in 0..JOBS_PER_ROUND {
+                let job = self.seed * 1_000 + u64::from(round) * JOBS_PER_ROUND + number + 1;
                 self.submit(job);
             }
             if self.random.random_range(0..3u32) == 0 {
-                self.cancel_one();
+                self.cancel_random_job();
             }
-            std::thread::sleep(ROUND);
-            if round % ROUNDS_OF_TROUBLE == ROUNDS_OF_TROUBLE - 1 {
-                self.mend();
+            std::thread::sleep(ROUND_LENGTH);
+            if round % ROUNDS_PER_REPAIR == ROUNDS_PER_REPAIR - 1 {
+                self.repair_faults();
             }
         }
-        self.mend();
+        self.repair_faults();
         for at in 0..self.worker_links.len() {
             self.operator.world().resize_worker(at, ACCELERATORS);
         }
-        self.take_orders_back();
+        self.withdraw_orders();
     }
 
-    /// Waits until every accepted job has come to the end that it has to have.
-    fn settle(&mut self) {
-        let jobs: Vec<(u64, Sent)> = self.sent.clone().into_iter().collect();
+    /// Waits until every accepted job has ended in one of the states that are right for it.
+    fn wait_for_job_ends(&mut self) {
+        let jobs: Vec<(u64, SentJob)> = self.sent.clone().into_iter().collect();
         for (job, sent) in jobs {
-            if sent.fate != Fate::Accepted {
+            if sent.outcome != SubmitOutcome::Accepted {
                 continue;
             }
-            let hopeless = sent.poison || sent.crashing;
-            let allowed: &[&str] = match (sent.cancelling, hopeless) {
+            let must_fail = sent.failing || sent.crashing;
+            let allowed: &[&str] = match (sent.cancelling, must_fail) {
                 (true, _) if sent.cancelled => &["cancelled", "completed", "failed"],
                 (true, true) => &["cancelled", "failed"],
                 (true, false) => &["cancelled", "completed"],
@@ -573,7 +585,7 @@
                 (false, false) => &["completed"],
             };
             let mut last = Answer::None;
-            let until = Instant::now() + PATIENCE;
+            let until = Instant::now() + WAIT_TIMEOUT;
             loop {
                 for client in &mut self.clients {
                     last = client.request("GET", &sent.path, "");
@@ -586,21 +598,21 @@
                     _ => Value::Null,
                 };
                 let state = state["state"].as_str().unwrap_or_default();
-                let given_up = state == "failed" && self.lost_two_workers(job);
+                let given_up = state == "failed" && self.has_crashed_twice(job);
                 if allowed.contains(&state) || given_up {
                     break;
                 }
                 assert!(
                     Instant::now() < until,
-                    "seed {}: job {job:016x} ({sent:?}) is {last:?}, not one of {allowed:?}; its runs: {:#?}",
+                    "seed {}: job {job:016x} ({sent:?}) is {last:?}, expected one of {allowed:?}; its runs: {:#?}",
                     self.seed,
                     self.run_records(job)
                 );
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(CHECK_INTERVAL);
             }
             if sent.cancelled {
                 let world = || self.operator.world();
-                self.wait_until("nothing of a cancelled job runs", || {
+                self.wait_until("no run of a cancelled job is left", || {
                     world().runs_of(job) == 0
                 });
             }
@@ -618,24 +630,27 @@
             .collect()
     }
 
-    /// Whether two workers crashed under one task of a job.
-    fn lost_two_workers(&self, job: u64) -> bool {
+    /// Returns whether at least two crashes of workers happened under one task of a job.
+    fn has_crashed_twice(&self, job: u64) -> bool {
         let runs = self.run_records(job);
         let crashed = |run: &&RunRecord| matches!(run.ended, Some((_, "crashed")));
         let mut crashes: BTreeMap<&str, usize> = BTreeMap::new();
         for run in runs.iter().filter(crashed) {
             *crashes.entry(&run.task).or_default() += 1;
         }
-        crashes.values().any(|&count| count >= LEAST_CRASHES)
+        crashes
+            .values()
+            .any(|&count| count >= MIN_CRASHES_TO_GIVE_UP)
     }
 
-    fn check(&self) {
+    /// Checks all runs against the guarantees and prints a summary.
+    fn check_runs(&self) {
         let world = self.operator.world();
         assert!(
-            world.overfull.is_empty(),
-            "seed {}: over their room: {:#?}",
+            world.overcommitted_starts.is_empty(),
+            "seed {}: starts beyond the capacity of workers: {:#?}",
             self.seed,
-            world.overfull
+            world.overcommitted_starts
         );
         let mut by_task: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
         for record in &world.records {
@@ -646,22 +661,25 @@
             let job = u64::from_str_radix(&task[..16], 16).expect("a job's name");
             let sent = self.sent.get(&job);
             let what = format!("seed {}: {task} of {sent:?}: {runs:#?}", self.seed);
-            let sent = sent.unwrap_or_else(|| panic!("nobody sent it: {what}"));
-            assert!(sent.fate != Fate::Refused, "it was refused: {what}");
+            let sent = sent.unwrap_or_else(|| panic!("the job was never submitted: {what}"));
+            assert!(
+                sent.outcome != SubmitOutcome::Refused,
+                "the job was refused: {what}"
+            );
             check_task(runs, &what);
             assert!(
-                !sent.crashing || runs.len() <= MOST_CRASHING_STARTS,
-                "it crashes its workers and was started too often: {what}"
+                !sent.crashing || runs.len() <= MAX_CRASHING_STARTS,
+                "a task that crashes its workers was started too often: {what}"
             );
             check_due(task, &sent.body, runs, &what);
         }
-        check_order(&by_task, &self.sent, self.seed);
+        check_step_order(&by_task, &self.sent, self.seed);
         println!(
             "seed {}: {} jobs, {} refused, {} unknown, {} runs, {} orders, epoch {}",
             self.seed,
             self.sent.len(),
-            self.count(Fate::Refused),
-            self.count(Fate::Unknown),
+            self.count(SubmitOutcome::Refused),
+            self.count(SubmitOutcome::Unknown),
             world.records.len(),
             self.orders.len(),
             world
@@ -670,38 +688,42 @@
         );
     }
 
-    fn count(&self, fate: Fate) -> usize {
-        self.sent.values().filter(|sent| sent.fate == fate).count()
+    fn count(&self, outcome: SubmitOutcome) -> usize {
+        self.sent
+            .values()
+            .filter(|sent| sent.outcome == outcome)
+            .count()
     }
 }
 
-/// One run at a time, under numbers that rise, done once, and not started again
-/// after too many failures.
+/// Checks that the runs of a task do not overlap, that their numbers rise in the order in
+/// which they were ordered, that at most one completes, and that no more than the allowed
+/// number fail.
 fn check_task(runs: &[&RunRecord], what: &str) {
     let now = Instant::now();
     for pair in runs.windows(2) {
         let ended = pair[0].ended.map_or(now, |(ended, _)| ended);
-        assert!(ended <= pair[1].began, "twice at a time: {what}");
+        assert!(ended <= pair[1].began, "two runs at the same time: {what}");
     }
     let mut by_order = runs.to_vec();
     by_order.sort_by_key(|run| run.ordered);
     for pair in by_order.windows(2) {
-        // A copy of an order that had no answer, carried out by the next incarnation.
+        // A repeated order that had no answer, carried out by the next incarnation.
         let copy = pair[0].run == pair[1].run && pair[0].worker == pair[1].worker;
         let rises = pair[0].run < pair[1].run;
-        assert!(rises || copy, "numbers do not rise: {what}");
+        assert!(rises || copy, "run numbers do not rise: {what}");
     }
-    let ended = |how: &str| {
+    let ended = |kind: &str| {
         let counted = runs.iter().filter(|run| !run.void);
         counted
-            .filter(|run| matches!(run.ended, Some((_, own)) if own == how))
+            .filter(|run| matches!(run.ended, Some((_, own)) if own == kind))
             .count()
     };
-    assert!(ended("done") <= 1, "done more than once: {what}");
+    assert!(ended("done") <= 1, "completed more than once: {what}");
     assert!(ended("failed") <= MAX_ATTEMPTS, "too many attempts: {what}");
 }
 
-/// No occurrence begins before it is due.
+/// Checks that no run of an occurrence starts before the occurrence is due.
 fn check_due(task: &str, body: &Value, runs: &[&RunRecord], what: &str) {
     let Some(start_ms) = body["start_at_ms"].as_u64() else {
         return;
@@ -710,11 +732,15 @@
     let interval_ms = body["interval_ms"].as_u64().unwrap_or(0);
     let due_ms = start_ms + occurrence.unwrap_or(0u64) * interval_ms;
     let early = runs.iter().any(|run| run.began_ms + EARLY_MS < due_ms);
-    assert!(!early, "begun before {due_ms}: {what}");
+    assert!(!early, "started before {due_ms}: {what}");
 }
 
-/// A step begins only after all tasks of the steps before it are done.
-fn check_order(by_task: &BTreeMap<&str, Vec<&RunRecord>>, sent: &BTreeMap<u64, Sent>, seed: u64) {
+/// Checks that a step starts only after all tasks of its dependencies are done.
+fn check_step_order(
+    by_task: &BTreeMap<&str, Vec<&RunRecord>>,
+    sent: &BTreeMap<u64, SentJob>,
+    seed: u64,
+) {
     for (job, sent) in sent {
         let steps = sent.body["steps"].as_array().cloned().unwrap_or_default();
         for (at, step) in steps.iter().enumerate() {
@@ -723,8 +749,8 @@
             let first = runs
                 .flat_map(|(_, runs)| runs.iter().map(|run| run.began))
                 .min();
-            let before = step["after"].as_array().cloned().unwrap_or_default();
-            let Some(first) = first.filter(|_| !before.is_empty()) else {
+            let dependencies = step["after"].as_array().cloned().unwrap_or_default();
+            let Some(first) = first.filter(|_| !dependencies.is_empty()) else {
                 continue;
             };
             for index in 0..steps[0]["count"].as_u64().unwrap_or(0) {
@@ -735,7 +761,7 @@
                 });
                 assert!(
                     done,
-                    "seed {seed}: {prefix} began before {earlier} was done"
+                    "seed {seed}: {prefix} started before {earlier} was done"
                 );
             }
         }
@@ -745,63 +771,63 @@
 /// The seeds that CI runs.
 const SEEDS: [u64; 2] = [1, 109];
 
-/// Seeds that failed once, with what they showed; `SOAK_SEEDS=known` runs them.
-/// A seed draws the same faults and jobs, but processes race each time anew.
+/// Seeds that failed before, with the fault that they found; `SOAK_SEEDS=known` runs them.
+/// A seed always gives the same faults and jobs, but the timing of the processes differs.
 const KNOWN_SEEDS: [(u64, &str); 25] = [
     (
         109,
         "a refused job ran: a closed connection was taken for an unsent call",
     ),
-    (144, "the same"),
+    (144, "same cause as 109"),
     (
         118,
-        "a task was done twice: ends that were not stored, or a paused owner",
+        "a task completed twice: its end was not stored, or its owner was paused",
     ),
     (
         201,
-        "the stand-in's: a look outlived its worker and took ends of the next",
+        "fault of the stand-in: a poll outlived its worker and acknowledged ends of the next incarnation",
     ),
-    (210, "the same"),
+    (210, "same cause as 201"),
     (
         225,
-        "the soak's: a daemon that was killed and started was waited for",
+        "fault of the soak: it waited for the exit of a daemon that it had already restarted",
     ),
-    (311, "a task spent its attempts on one failing worker"),
+    (311, "a task used up its attempts on one failing worker"),
     (
         406,
-        "nobody owned: a takeover that was carried out late, and two daemons that took each other for the owner",
+        "no owner: a takeover was carried out late, and two daemons took each other for the owner",
     ),
     (
         424,
-        "nobody owned: a daemon that took the epoch and could not begin waited for the owner before",
+        "no owner: a daemon that took the epoch but could not start as owner waited for the previous owner",
     ),
-    (503, "nobody owned: as 406, before that was mended"),
+    (503, "no owner: same cause as 406"),
     (
         1009,
-        "a sound job failed: starts that were never answered counted as crashes",
+        "a job that crashes no worker failed: starts without an answer counted as crashes",
     ),
     (
         1405,
-        "six starts of a task that crashes its workers: given up after three crashes, not two",
+        "six starts of a task that crashes its workers: it was given up after three crashes, not two",
     ),
-    (1435, "the same"),
+    (1435, "same cause as 1405"),
     (
         1611,
-        "six starts of such a task under three owners; the stand-in carried out a late start in the next incarnation",
+        "six starts of a task that crashes its workers, under three owners; the stand-in carried out a late start in the next incarnation",
     ),
     (
         2001,
-        "the soak's: starts carried out late were compared by when they began",
+        "fault of the soak: it compared starts that were carried out late by their start times",
     ),
     (
         2005,
-        "the stand-in's: a start was carried out by the next life of its worker",
+        "fault of the stand-in: a start was carried out by the next incarnation of its worker",
     ),
     (
         3007,
         "a ninth attempt: a poll 300 ms after an answer acknowledged an end of the next incarnation",
     ),
-    (3016, "the same"),
+    (3016, "same cause as 3007"),
     (
         3245,
         "a gang failed after two crashes under one member: the stand-in recorded at most one per member",
@@ -816,7 +842,7 @@
     ),
     (
         8315,
-        "a job stayed queued: daemons left over from a killed soak took over ownership",
+        "a job stayed queued: daemons left over from a killed soak took over the ownership",
     ),
     (
         8418,
@@ -828,17 +854,17 @@
     ),
     (
         1040,
-        "run numbers fell: starts that a worker called late were repeated at once, until those of the epoch ran out",
+        "run numbers fell: starts that a worker refused as late were repeated at once, until the epoch had no numbers left",
     ),
 ];
 
 #[test]
-fn promises_hold_under_drawn_faults() {
+fn guarantees_hold_under_random_faults() {
     let range = std::env::var("SOAK_SEEDS").ok();
     if range.as_deref() == Some("known") {
-        for (seed, shown) in KNOWN_SEEDS {
-            println!("seed {seed}: {shown}");
-            play(seed);
+        for (seed, finding) in KNOWN_SEEDS {
+            println!("seed {seed}: {finding}");
+            run_seed(seed);
         }
         return;
     }
@@ -849,14 +875,14 @@
         }
         None => SEEDS.to_vec(),
     };
-    seeds.into_iter().for_each(play);
+    seeds.into_iter().for_each(run_seed);
 }
 
-fn play(seed: u64) {
-    let mut soak = Soak::begin(seed);
+fn run_seed(seed: u64) {
+    let mut soak = Soak::spawn(seed);
     soak.run();
-    soak.settle();
-    soak.empty_calmly();
-    soak.check();
+    soak.wait_for_job_ends();
+    soak.empty_each_data_centre();
+    soak.check_runs();
     soak.check_orders();
 }
--- a/tests/stand_in.rs
+++ b/tests/stand_in.rs
@@ -22,7 +22,7 @@
 
 /// Exceeds the restart delay, the late-start delay and the poll interval of the stand-in.
 const SETTLE_TIME: Duration = Duration::from_millis(2_000);
-/// Exceeds the time that a call may take that is answered.
+/// Exceeds the time that the answer to a call may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 const JOB: u64 = 7;
 
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -1,9 +1,8 @@
-//! A stand-in of an operator's platform, by its published protocol: a store
-//! with revisions, leases, watches and conditional transactions, and workers
-//! with fences, leases and listed ends. It runs on a thread of its own, can be
-//! told to refuse, to lose answers and to carry writes out late, and keeps a
-//! record of everything that ran. Workers can crash, leave, fail what they run
-//! and be reached through harmed links.
+//! A stand-in for an operator's platform that follows its published protocol: a store with
+//! revisions, leases, watches and conditional transactions, and workers with fencing tokens,
+//! leases and lists of ended runs. It runs on its own thread and records all runs. Tests can
+//! make the store refuse calls, lose answers and carry writes out late, make workers crash,
+//! leave and fail their runs, and put proxies between workers and daemons.
 
 use actix_http::body::BoxBody;
 use actix_http::{
@@ -53,20 +52,20 @@
 pub enum StoreMode {
     #[default]
     Serving,
-    /// It answers 503.
+    /// It answers every call with 503.
     Refusing,
-    /// It does not answer.
+    /// It answers no call.
     Silent,
-    /// Writes are carried out, and one in three gets no answer.
+    /// All writes are carried out, but one in three gets no answer.
     LosingAnswers,
-    /// One in three writes gets no answer and is carried out late, if its
-    /// condition still holds.
+    /// One in three writes gets no answer and is carried out late, if its conditions still
+    /// hold then.
     Late,
-    /// It answers 503 to reads of whole prefixes, and serves all else.
+    /// It answers reads of whole prefixes with 503 and serves all other calls.
     RefusingRanges,
 }
 
-/// One run, as the worker saw it.
+/// A run as its worker observed it.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     pub task: String,
@@ -74,14 +73,15 @@
     /// The epoch of the owner that started it.
     pub epoch: u64,
     pub worker: usize,
-    /// When its order arrived; it may have been carried out late.
+    /// When the order to start it arrived. It may have been carried out later.
     pub ordered: Instant,
     pub began: Instant,
-    /// The time of day when it began.
+    /// When it started, in milliseconds since the Unix epoch.
     pub began_ms: u64,
+    /// When and how it ended.
     pub ended: Option<(Instant, &'static str)>,
-    /// The worker's lease ran out before anybody took note of the end: it
-    /// counts for nothing, and the task may be started anew.
+    /// The worker's lease expired before the end was acknowledged. The run does not count,
+    /// and its task may be started again.
     pub void: bool,
 }
 
@@ -93,24 +93,25 @@
     lease: u64,
 }
 
-/// A step as its caller asked for it.
+/// A step of a submitted job.
 #[derive(Clone, Debug, Default)]
-struct StepAsked {
+struct SubmittedStep {
     count: usize,
     accelerators: u64,
     gang: bool,
 }
 
-/// A run on a worker.
+/// A run that has not ended.
 #[derive(Clone, Debug)]
-struct RunThere {
+struct ActiveRun {
     run: u64,
     arrived: Instant,
-    /// When it ends by itself; `None` for a member whose gang is not whole.
+    /// When it ends by itself; `None` for a member whose gang is incomplete.
     until: Option<Instant>,
-    how: &'static str,
+    /// How it ends by itself.
+    end_kind: &'static str,
     accelerators: u64,
-    /// Place in the record of runs.
+    /// Its index in [`World::records`].
     record: usize,
 }
 
@@ -118,106 +119,115 @@
 struct FakeWorker {
     id: String,
     address: String,
-    lives: u32,
-    /// When this life of it started, since the Unix epoch.
-    born_ms: u64,
-    /// The same; its clock counts from then.
+    /// Number of the current incarnation.
+    incarnation: u32,
+    /// When this incarnation started, in milliseconds since the Unix epoch.
+    incarnation_start_ms: u64,
+    /// The same as an instant. The worker's clock counts from here.
     started: Option<Instant>,
+    /// The highest epoch that it has seen.
     fence: u64,
     lease_end_ms: u64,
-    running: BTreeMap<String, RunThere>,
-    refused: HashMap<String, u64>,
+    running: BTreeMap<String, ActiveRun>,
+    /// The highest run of each task that was stopped or has ended; starts up to it are
+    /// refused.
+    highest_ended: HashMap<String, u64>,
+    /// Ends that are not acknowledged: number, task, run and kind of the end.
     ended: Vec<(u64, String, u64, &'static str)>,
-    /// Places of the listed ends in the record of runs, by number.
-    unnoted: BTreeMap<u64, usize>,
+    /// Indices of these ends in [`World::records`], by number.
+    unacknowledged: BTreeMap<u64, usize>,
     next_end: u64,
     pub cut: bool,
-    /// It fails whatever it starts.
+    /// Whether all runs that it starts fail.
     failing: bool,
-    /// What it has now.
+    /// Its present accelerators.
     accelerators: u64,
-    /// What it had before, and since when that does not hold any more.
-    earlier_rooms: Vec<(u64, Instant)>,
-    /// It has crashed, and another life of it answers from then on.
-    back: Option<Instant>,
+    /// Earlier numbers of accelerators, and when each was replaced.
+    earlier_capacities: Vec<(u64, Instant)>,
+    /// When the next incarnation starts, if the worker has crashed.
+    restarts_at: Option<Instant>,
     data_centre: String,
 }
 
-/// What a worker has.
+/// Initial number of accelerators of a worker.
 const ACCELERATORS: u64 = 8;
-/// A room that has shrunk counts after this: the time in which a VM is in touch and a
-/// worker's heartbeat, as the settings of the daemons name them.
-const SHRUNK_COUNTS: Duration = Duration::from_millis(4_500);
-/// A start without an answer is carried out so much later.
-const LATE_START: Duration = Duration::from_millis(1_200);
-/// The longest lease that a worker gives.
-const MAX_HOLD_MS: u64 = 10_000;
-/// Members of a gang wait this long for the others.
+/// Time after which daemons must respect a worker's reduced capacity: the contact bound and
+/// the heartbeat interval in the settings of the daemons.
+const SHRINK_EFFECTIVE_AFTER: Duration = Duration::from_millis(4_500);
+/// Delay of a start that is carried out late.
+const LATE_START_DELAY: Duration = Duration::from_millis(1_200);
+/// The longest lease that a worker accepts.
+const MAX_LEASE_MS: u64 = 10_000;
+/// How long the members of a gang wait for the others.
 const GANG_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// What crashes its worker does so this soon.
-const CRASHES_AFTER: Duration = Duration::from_millis(10);
-/// A worker that was crashed by a task is away for so long.
-const DOWN: Duration = Duration::from_millis(1_500);
-/// A worker that crashes by itself is away for so long.
-const RESTART: Duration = Duration::from_millis(300);
+/// Time from its start until a run crashes its worker.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// How long a worker is down after a crash by a task.
+const TASK_CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
+/// How long a worker is down after a crash that a test causes.
+const RESTART_DOWNTIME: Duration = Duration::from_millis(300);
 /// Interval at which due worker events are processed, independently of incoming calls.
 const DUE_EVENT_INTERVAL: Duration = Duration::from_millis(5);
-/// What fails, fails this soon.
-const FAILS_AFTER: Duration = Duration::from_millis(30);
+/// Time from its start until a run fails.
+const FAILURE_DELAY: Duration = Duration::from_millis(30);
 
 impl FakeWorker {
-    /// Another life begins.
-    fn begin(self) -> Self {
+    /// Starts an incarnation.
+    fn start_incarnation(self) -> Self {
         Self {
-            born_ms: unix_ms(),
+            incarnation_start_ms: unix_ms(),
             started: Some(Instant::now()),
             ..self
         }
     }
 
-    /// Its clock, which starts anew with each life.
+    /// Returns its clock, which restarts with each incarnation.
     fn clock_ms(&self) -> u64 {
         const FIRST_MS: u64 = 1_000;
-        let started = self.started.expect("a worker that began");
+        let started = self.started.expect("the worker has started");
         started.elapsed().as_millis() as u64 + FIRST_MS
     }
 
-    /// The most accelerators that it had until a moment ago.
-    fn room_that_counts(&self) -> u64 {
-        let lately = self.earlier_rooms.iter();
-        let lately = lately.filter(|(_, since)| since.elapsed() < SHRUNK_COUNTS);
-        let most = lately.map(|(accelerators, _)| *accelerators).max();
+    /// Returns the most accelerators that daemons may still count on: a reduction has no
+    /// effect until [`SHRINK_EFFECTIVE_AFTER`] has passed.
+    fn effective_accelerators(&self) -> u64 {
+        let recent = self.earlier_capacities.iter();
+        let recent = recent.filter(|(_, since)| since.elapsed() < SHRINK_EFFECTIVE_AFTER);
+        let most = recent.map(|(accelerators, _)| *accelerators).max();
         most.unwrap_or(0).max(self.accelerators)
     }
 }
 
-/// What the stand-in holds.
+/// The state of the stand-in.
 #[derive(Debug)]
 pub struct World {
     pub mode: StoreMode,
-    /// A key whose reads are not answered, while all else is.
+    /// A key whose reads get no answer; all other calls are served.
     pub withheld_key: Option<&'static str>,
     pub records: Vec<RunRecord>,
     items: BTreeMap<String, Item>,
+    /// Changes with their revisions and keys.
     history: Vec<(u64, String)>,
-    oldest: u64,
+    /// The oldest revision that a watch may start from.
+    oldest_revision: u64,
     revision: u64,
+    /// The expiry and the duration in milliseconds of each lease.
     leases: HashMap<u64, (Instant, u64)>,
     next_lease: u64,
-    /// Workers refuse what does not fit; the others start whatever they are told to.
-    pub guarded: bool,
-    /// Workers that crash start again under the name that they had.
+    /// Whether workers refuse starts that exceed their free capacity.
+    pub checks_capacity: bool,
+    /// Whether crashed workers restart under the same name.
     pub keeps_names: bool,
-    /// One start in three gets no answer and is carried out late.
+    /// Whether one start in three gets no answer and is carried out late.
     pub late_starts: bool,
     starts: u64,
-    /// Starts that brought a worker over the room that counts.
-    pub overfull: Vec<String>,
-    /// Calls that the store was asked.
+    /// Descriptions of starts that exceeded the effective capacity of their worker.
+    pub overcommitted_starts: Vec<String>,
+    /// Calls to the store, without watches and transactions.
     pub calls: u64,
     writes: u64,
     workers: Vec<FakeWorker>,
-    steps: HashMap<String, Vec<StepAsked>>,
+    steps: HashMap<String, Vec<SubmittedStep>>,
 }
 
 /// The running stand-in.
@@ -243,7 +253,7 @@
         };
         let routes: Vec<Value> = queues.iter().map(queue).collect();
         let value = json!({ "version": version, "routes": routes,
-            "services": [{ "name": "s", "rejects_overload": self.guarded }],
+            "services": [{ "name": "s", "rejects_overload": self.checks_capacity }],
             "tenants": [{ "name": "t", "api_keys": ["key"], "guaranteed": { "gpu": 8 } }] });
         self.put("op/config", &value);
     }
@@ -254,38 +264,38 @@
         self.put_raw(key, value, 0);
     }
 
-    /// Writes any bytes, as another writer may.
+    /// Writes arbitrary bytes as another writer may.
     pub fn put_bytes(&mut self, key: &str, value: &[u8]) {
         self.put_raw(key, BASE64_STANDARD.encode(value), 0);
     }
 
-    /// Has the store answer with a value that is not base64.
+    /// Stores a value that is not base64.
     pub fn put_unencoded(&mut self, key: &str) {
         self.put_raw(key, "*not base64*".to_owned(), 0);
     }
 
-    /// The bytes of a value.
+    /// Returns the bytes of a value.
     pub fn bytes(&self, key: &str) -> Option<Vec<u8>> {
         BASE64_STANDARD.decode(&self.items.get(key)?.value).ok()
     }
 
-    /// Removes a value, as another writer may.
+    /// Removes a value as another writer may.
     pub fn take_away(&mut self, key: &str) {
         self.remove(key);
     }
 
-    /// The key of a worker's entry.
+    /// Returns the key of a worker's entry.
     pub fn worker_key(&self, at: usize) -> String {
         format!("servers/{}", self.workers[at].id)
     }
 
-    /// Asks that a data centre gets no new tasks, with any bytes as the value.
+    /// Orders that a data centre gets no new tasks; daemons must ignore the value.
     pub fn empty(&mut self, data_centre: &str, value: &[u8]) {
         let key = format!("op/evacuate/{data_centre}");
         self.put_raw(&key, BASE64_STANDARD.encode(value), 0);
     }
 
-    /// Takes that back.
+    /// Withdraws the order for a data centre.
     pub fn give_back(&mut self, data_centre: &str) {
         self.remove(&format!("op/evacuate/{data_centre}"));
     }
@@ -296,17 +306,17 @@
         self.register(at, "ready");
     }
 
-    /// A value that daemons stored.
+    /// Returns a value decoded from JSON.
     pub fn value(&self, key: &str) -> Option<Value> {
         let item = self.items.get(key)?;
         let bytes = BASE64_STANDARD.decode(&item.value).ok()?;
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Notes what a caller asks for, since workers know their steps.
+    /// Records the steps of a submitted job, from which workers learn what their runs need.
     pub fn note_job(&mut self, job: u64, body: &Value) {
         let steps = body["steps"].as_array().cloned().unwrap_or_default();
-        let asked = steps.iter().map(|step| StepAsked {
+        let asked = steps.iter().map(|step| SubmittedStep {
             count: step["count"].as_u64().unwrap_or(1) as usize,
             accelerators: step["gpu"].as_u64().unwrap_or(0),
             gang: step["gang"].as_bool().unwrap_or(false),
@@ -314,38 +324,38 @@
         self.steps.insert(format!("{job:016x}"), asked.collect());
     }
 
-    /// The keys under a prefix.
+    /// Returns the keys under a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let all = self.items.keys().filter(|key| key.starts_with(prefix));
         all.cloned().collect()
     }
 
-    /// Drops the history: watches from before are told to read anew.
+    /// Drops the history, so that watches from earlier revisions fail.
     pub fn drop_history(&mut self) {
         self.history.clear();
-        self.oldest = self.revision;
+        self.oldest_revision = self.revision;
     }
 
-    /// Cuts a worker off, or joins it again.
+    /// Cuts a worker off from all calls, or reconnects it.
     pub fn cut_worker(&mut self, at: usize, cut: bool) {
         self.workers[at].cut = cut;
     }
 
-    /// Lets a worker fail whatever it starts, or not any more.
+    /// Sets whether all runs that a worker starts fail.
     pub fn set_failing(&mut self, at: usize, failing: bool) {
         self.workers[at].failing = failing;
     }
 
-    /// Changes what a worker has; its entry says so.
+    /// Changes a worker's accelerators and its entry.
     pub fn resize_worker(&mut self, at: usize, accelerators: u64) {
         let worker = &mut self.workers[at];
         let before = (worker.accelerators, Instant::now());
-        worker.earlier_rooms.push(before);
+        worker.earlier_capacities.push(before);
         worker.accelerators = accelerators;
         self.register(at, "ready");
     }
 
-    /// Everything that runs on a worker fails now.
+    /// Ends all runs on a worker as failed.
     pub fn fail_runs(&mut self, at: usize) {
         self.process_due_events(at);
         let tasks: Vec<String> = self.workers[at].running.keys().cloned().collect();
@@ -354,40 +364,41 @@
         }
     }
 
-    /// A worker crashes and is back as soon as a process can be.
+    /// Crashes a worker, which restarts after [`RESTART_DOWNTIME`].
     pub fn crash_worker(&mut self, at: usize) {
         self.crash_workers(&[at]);
     }
 
-    /// Crashes several workers at the same moment; each is down for at least `RESTART`.
+    /// Crashes several workers at the same moment; each is down for at least
+    /// [`RESTART_DOWNTIME`].
     pub fn crash_workers(&mut self, workers: &[usize]) {
         self.process_all_due_events();
-        self.crash_for(workers, RESTART);
+        self.crash_for(workers, RESTART_DOWNTIME);
     }
 
-    fn begin_next_life(&mut self, at: usize) {
+    fn start_next_incarnation(&mut self, at: usize) {
         let worker = &mut self.workers[at];
-        let places: Vec<usize> = worker.unnoted.values().copied().collect();
+        let unacknowledged_runs: Vec<usize> = worker.unacknowledged.values().copied().collect();
         let old = format!("servers/{}", worker.id);
-        worker.lives += 1;
+        worker.incarnation += 1;
         let id = match self.keeps_names {
             true => worker.id.clone(),
-            false => format!("w{at}-{}", worker.lives),
+            false => format!("w{at}-{}", worker.incarnation),
         };
         *worker = FakeWorker {
             id,
             address: worker.address.clone(),
-            lives: worker.lives,
+            incarnation: worker.incarnation,
             cut: worker.cut,
             failing: worker.failing,
             accelerators: worker.accelerators,
-            earlier_rooms: worker.earlier_rooms.clone(),
+            earlier_capacities: worker.earlier_capacities.clone(),
             data_centre: worker.data_centre.clone(),
             ..FakeWorker::default()
         }
-        .begin();
-        for place in places {
-            self.records[place].void = true;
+        .start_incarnation();
+        for record in unacknowledged_runs {
+            self.records[record].void = true;
         }
         if !self.keeps_names {
             self.remove(&old);
@@ -402,22 +413,23 @@
         for &at in workers {
             let tasks: Vec<String> = self.workers[at].running.keys().cloned().collect();
             for task in tasks {
-                let run = self.note_end(at, &task, "crashed");
+                let run = self.record_end(at, &task, "crashed");
                 crashed_runs.extend(run.map(|run| (task, run)));
             }
-            let back = Instant::now() + down;
-            let before = self.workers[at].back;
-            self.workers[at].back = Some(before.map_or(back, |before| before.max(back)));
+            let restarts_at = Instant::now() + down;
+            let before = self.workers[at].restarts_at;
+            self.workers[at].restarts_at =
+                Some(before.map_or(restarts_at, |before| before.max(restarts_at)));
         }
         for (task, run) in crashed_runs {
             self.end_members(&task, run, "broken");
         }
     }
 
-    /// Whether a worker is down or cut off and so answers no calls.
+    /// Returns whether a worker is down or cut off and therefore answers no calls.
     fn is_out_of_reach(&self, at: usize) -> bool {
         let worker = &self.workers[at];
-        worker.cut || worker.back.is_some()
+        worker.cut || worker.restarts_at.is_some()
     }
 
     /// Processes the due events of every worker.
@@ -430,12 +442,12 @@
     /// Processes the due events of a worker: its restart, ends of runs and lease expiry.
     fn process_due_events(&mut self, at: usize) {
         if self.workers[at]
-            .back
-            .is_some_and(|back| back <= Instant::now())
+            .restarts_at
+            .is_some_and(|restarts_at| restarts_at <= Instant::now())
         {
-            self.begin_next_life(at);
+            self.start_next_incarnation(at);
         }
-        self.settle_worker(at);
+        self.end_due_runs(at);
     }
 
     /// Writes a worker's entry.
@@ -443,18 +455,18 @@
         let worker = &self.workers[at];
         let value = json!({ "service": "s", "address": worker.address, "zone": worker.data_centre,
             "state": state, "remaining_ms": 2_000, "labels": ["a", "r1"], "sequence": 1,
-            "born": worker.born_ms,
+            "born": worker.incarnation_start_ms,
             "capacity": { "cpu": 32000, "mem_mb": 131072, "gpu": worker.accelerators } });
         let key = format!("servers/{}", worker.id);
         self.put(&key, &value);
     }
 
-    /// How many ends a worker lists.
+    /// Returns the number of ends that a worker lists.
     pub fn listed_ends(&self, at: usize) -> usize {
         self.workers[at].ended.len()
     }
 
-    /// Whether anything of a job is on a worker.
+    /// Returns the number of runs of a job on all workers.
     pub fn runs_of(&mut self, job: u64) -> usize {
         self.process_all_due_events();
         let prefix = format!("{job:016x}.");
@@ -483,15 +495,15 @@
         }
     }
 
-    fn end_leases(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (until, _))| *until < now)
             .map(|(&lease, _)| lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> = self
                 .items
@@ -513,14 +525,13 @@
         )
     }
 
-    /// The first of these items, as many as a page holds, and whether there are
-    /// more.
+    /// Returns as many of these items as fit into a page, and whether more follow.
     fn page(&self, keys: &[&String]) -> (Vec<Value>, bool) {
-        const MOST_ITEMS: usize = 500;
-        const MOST_BYTES: usize = 1 << 20;
+        const MAX_ITEMS: usize = 500;
+        const MAX_BYTES: usize = 1 << 20;
         let (mut page, mut bytes) = (Vec::new(), 0);
         for key in keys {
-            if page.len() == MOST_ITEMS || bytes >= MOST_BYTES {
+            if page.len() == MAX_ITEMS || bytes >= MAX_BYTES {
                 return (page, true);
             }
             bytes += self.items[*key].value.len();
@@ -529,8 +540,10 @@
         (page, false)
     }
 
+    /// Returns the changes under a prefix after a revision, or `None` if the history no
+    /// longer reaches back that far.
     fn events_after(&self, prefix: &str, after: u64) -> Option<Vec<Value>> {
-        if after < self.oldest {
+        if after < self.oldest_revision {
             return None;
         }
         let changed = self
@@ -574,73 +587,76 @@
         (StatusCode::OK, json!({ "revision": self.revision }))
     }
 
-    /// Ends what is due on a worker: run times and leases.
-    fn settle_worker(&mut self, at: usize) {
+    /// Ends the runs of a worker that are due or whose lease has expired.
+    fn end_due_runs(&mut self, at: usize) {
         let now = Instant::now();
         let worker = &mut self.workers[at];
         let clock_ms = worker.clock_ms();
-        let lapsed = clock_ms > worker.lease_end_ms;
-        let end_of = |run: &RunThere| match run.until {
-            Some(until) if until <= now => Some((until, run.how)),
-            _ if lapsed => Some((now, "lapsed")),
+        let lease_expired = clock_ms > worker.lease_end_ms;
+        let end_of = |run: &ActiveRun| match run.until {
+            Some(until) if until <= now => Some((until, run.end_kind)),
+            _ if lease_expired => Some((now, "lapsed")),
             None if run.arrived + GANG_TIMEOUT <= now => Some((now, "alone")),
             _ => None,
         };
         let running = worker.running.iter();
-        let mut over: Vec<(String, (Instant, &'static str))> = running
+        let mut due_runs: Vec<(String, (Instant, &'static str))> = running
             .filter_map(|(task, run)| Some((task.clone(), end_of(run)?)))
             .collect();
-        // Sorted by end time so that a run that ended before a crash is not recorded as crashed.
-        over.sort_by_key(|(_, (due, _))| *due);
-        if lapsed {
-            let places: Vec<usize> = worker.unnoted.values().copied().collect();
-            for place in places {
-                self.records[place].void = true;
+        // Sorted by end time, so that a run that ended before a crash is not recorded as
+        // crashed.
+        due_runs.sort_by_key(|(_, (due, _))| *due);
+        if lease_expired {
+            let unacknowledged_runs: Vec<usize> = worker.unacknowledged.values().copied().collect();
+            for record in unacknowledged_runs {
+                self.records[record].void = true;
             }
         }
-        for (task, (_, how)) in over {
-            match how {
-                "crashed" => self.crash_for(&[at], DOWN),
-                _ => self.end_run(at, &task, how),
+        for (task, (_, end_kind)) in due_runs {
+            match end_kind {
+                "crashed" => self.crash_for(&[at], TASK_CRASH_DOWNTIME),
+                _ => self.end_run(at, &task, end_kind),
             }
         }
     }
 
     /// Ends a run; the other members of its gang end with it.
-    fn end_run(&mut self, at: usize, task: &str, how: &'static str) {
-        let Some(run) = self.note_end(at, task, how) else {
+    fn end_run(&mut self, at: usize, task: &str, end_kind: &'static str) {
+        let Some(run) = self.record_end(at, task, end_kind) else {
             return;
         };
-        let others = if how == "done" { "done" } else { "broken" };
+        let others = if end_kind == "done" { "done" } else { "broken" };
         self.end_members(task, run, others);
     }
 
     /// Ends the members of a task's gang that are still running.
-    fn end_members(&mut self, task: &str, run: u64, how: &'static str) {
+    fn end_members(&mut self, task: &str, run: u64, end_kind: &'static str) {
         if !self.step_of(task).gang {
             return;
         }
         for (at, member) in self.members(task, run) {
-            self.note_end(at, &member, how);
+            self.record_end(at, &member, end_kind);
         }
     }
 
-    fn note_end(&mut self, at: usize, task: &str, how: &'static str) -> Option<u64> {
+    fn record_end(&mut self, at: usize, task: &str, end_kind: &'static str) -> Option<u64> {
         let worker = &mut self.workers[at];
-        let there = worker.running.remove(task)?;
+        let ended_run = worker.running.remove(task)?;
         worker.next_end += 1;
-        worker.unnoted.insert(worker.next_end, there.record);
+        worker
+            .unacknowledged
+            .insert(worker.next_end, ended_run.record);
         worker
             .ended
-            .push((worker.next_end, task.to_owned(), there.run, how));
-        worker.refused.insert(task.to_owned(), there.run);
-        let by_itself = there.until.filter(|_| how == there.how);
+            .push((worker.next_end, task.to_owned(), ended_run.run, end_kind));
+        worker.highest_ended.insert(task.to_owned(), ended_run.run);
+        let by_itself = ended_run.until.filter(|_| end_kind == ended_run.end_kind);
         let ended = by_itself.unwrap_or_else(Instant::now);
-        self.records[there.record].ended = Some((ended, how));
-        Some(there.run)
+        self.records[ended_run.record].ended = Some((ended, end_kind));
+        Some(ended_run.run)
     }
 
-    fn step_of(&self, task: &str) -> StepAsked {
+    fn step_of(&self, task: &str) -> SubmittedStep {
         let mut parts = task.split('.');
         let steps = parts.next().and_then(|job| self.steps.get(job));
         let step = parts.nth(1).and_then(|step| step.parse::<usize>().ok());
@@ -648,20 +664,20 @@
         known.cloned().unwrap_or_default()
     }
 
-    /// The runs of a task's gang that are there.
+    /// Returns the running members of a task's gang.
     fn members(&self, task: &str, run: u64) -> Vec<(usize, String)> {
-        let (gang, _) = task.rsplit_once('.').expect("a task's name");
+        let (gang, _) = task.rsplit_once('.').expect("a valid task name");
         let prefix = format!("{gang}.");
         let workers = self.workers.iter().enumerate();
         workers
             .flat_map(|(at, worker)| worker.running.iter().map(move |entry| (at, entry)))
-            .filter(|(_, (name, there))| name.starts_with(&prefix) && there.run == run)
+            .filter(|(_, (name, member_run))| name.starts_with(&prefix) && member_run.run == run)
             .map(|(at, (name, _))| (at, name.clone()))
             .collect()
     }
 
-    /// Takes a start in; the reason if there is no room.
-    fn begin_run(
+    /// Starts a run. Returns the reason if the worker refuses it.
+    fn start_run(
         &mut self,
         at: usize,
         task: String,
@@ -673,32 +689,32 @@
         let worker = &self.workers[at];
         let used: u64 = worker.running.values().map(|run| run.accelerators).sum();
         let wanted = used + step.accelerators;
-        if self.guarded && wanted > worker.accelerators {
+        if self.checks_capacity && wanted > worker.accelerators {
             return Some("room");
         }
-        if wanted > worker.room_that_counts() {
-            let room = worker.accelerators;
-            self.overfull
-                .push(format!("{task} run {run} on {at}: {wanted} of {room}"));
+        if wanted > worker.effective_accelerators() {
+            let capacity = worker.accelerators;
+            self.overcommitted_starts
+                .push(format!("{task} run {run} on {at}: {wanted} of {capacity}"));
         }
         let spec = body["spec"].as_str().unwrap_or_default();
         let fails = worker.failing || spec == "poison";
-        let (lasts, how) = match spec.parse() {
-            _ if fails => (FAILS_AFTER, "failed"),
-            _ if spec == "crash" => (CRASHES_AFTER, "crashed"),
+        let (run_time, end_kind) = match spec.parse() {
+            _ if fails => (FAILURE_DELAY, "failed"),
+            _ if spec == "crash" => (CRASH_DELAY, "crashed"),
             Ok(run_ms) => (Duration::from_millis(run_ms), "done"),
-            Err(_) => (FAILS_AFTER, "done"),
+            Err(_) => (FAILURE_DELAY, "done"),
         };
         let now = Instant::now();
-        let there = RunThere {
+        let active_run = ActiveRun {
             run,
             arrived: now,
-            until: (!step.gang).then_some(now + lasts),
-            how,
+            until: (!step.gang).then_some(now + run_time),
+            end_kind,
             accelerators: step.accelerators,
             record: self.records.len(),
         };
-        self.workers[at].running.insert(task.clone(), there);
+        self.workers[at].running.insert(task.clone(), active_run);
         self.records.push(RunRecord {
             task: task.clone(),
             run,
@@ -714,8 +730,8 @@
             let members = self.members(&task, run);
             if members.len() == step.count {
                 for (at, member) in members {
-                    if let Some(there) = self.workers[at].running.get_mut(&member) {
-                        there.until = Some(now + lasts);
+                    if let Some(member_run) = self.workers[at].running.get_mut(&member) {
+                        member_run.until = Some(now + run_time);
                     }
                 }
             }
@@ -723,19 +739,21 @@
         None
     }
 
-    /// Counts a start; whether it gets no answer and is carried out late.
+    /// Counts a start and returns whether it gets no answer and is carried out late.
     fn is_late_start(&mut self) -> bool {
         const LATE_ONE_IN: u64 = 3;
         self.starts += 1;
         self.late_starts && self.starts.is_multiple_of(LATE_ONE_IN)
     }
 
-    fn fenced(&mut self, at: usize, body: &Value) -> bool {
+    /// Returns whether a call has a lower epoch than the worker has seen, and records its
+    /// epoch.
+    fn is_fenced(&mut self, at: usize, body: &Value) -> bool {
         let fence = body["fencing_token"].as_u64().unwrap_or(0);
         let worker = &mut self.workers[at];
-        let fenced = fence < worker.fence;
+        let is_fenced = fence < worker.fence;
         worker.fence = worker.fence.max(fence);
-        fenced
+        is_fenced
     }
 
     /// Handles a call to one incarnation of a worker. Returns `None` if the call gets no
@@ -748,12 +766,12 @@
         arrived: Instant,
     ) -> Option<(StatusCode, Value)> {
         self.process_due_events(at);
-        let is_current = self.workers[at].lives == incarnation;
+        let is_current = self.workers[at].incarnation == incarnation;
         let can_answer = is_current && !self.is_out_of_reach(at);
         can_answer.then(|| self.call_worker(at, call, body, arrived))
     }
 
-    /// Carries out a call that arrived at `arrived`.
+    /// Carries out a call to a worker that arrived at `arrived`.
     fn call_worker(
         &mut self,
         at: usize,
@@ -766,7 +784,7 @@
             let answer = json!({ "clock_ms": clock_ms, "reason": reason });
             (StatusCode::CONFLICT, answer)
         };
-        if self.fenced(at, body) {
+        if self.is_fenced(at, body) {
             return refuse("fence");
         }
         let task = body["task"].as_str().unwrap_or_default().to_owned();
@@ -777,62 +795,66 @@
                 if deadline_ms < clock_ms {
                     return refuse("late");
                 }
-                let deadline_ms = deadline_ms.min(clock_ms + MAX_HOLD_MS);
+                let deadline_ms = deadline_ms.min(clock_ms + MAX_LEASE_MS);
                 let worker = &mut self.workers[at];
                 worker.lease_end_ms = worker.lease_end_ms.max(deadline_ms);
                 if worker
-                    .refused
+                    .highest_ended
                     .get(&task)
-                    .is_some_and(|&refused| run <= refused)
+                    .is_some_and(|&highest_ended| run <= highest_ended)
                 {
                     return refuse("old");
                 }
                 if worker
                     .running
                     .get(&task)
-                    .is_some_and(|there| there.run == run)
+                    .is_some_and(|active_run| active_run.run == run)
                 {
                     return (StatusCode::OK, json!({ "clock_ms": clock_ms }));
                 }
-                if let Some(reason) = self.begin_run(at, task, run, body, arrived) {
+                if let Some(reason) = self.start_run(at, task, run, body, arrived) {
                     return refuse(reason);
                 }
             }
             "run-stop" => {
-                let refused = self.workers[at].refused.entry(task.clone()).or_default();
-                *refused = run.max(*refused);
-                let there = self.workers[at]
+                let highest_ended = self.workers[at]
+                    .highest_ended
+                    .entry(task.clone())
+                    .or_default();
+                *highest_ended = run.max(*highest_ended);
+                let is_running = self.workers[at]
                     .running
                     .get(&task)
-                    .is_some_and(|there| there.run == run);
-                if there {
+                    .is_some_and(|active_run| active_run.run == run);
+                if is_running {
                     self.end_run(at, &task, "stopped");
                 }
             }
             _ => {
                 let seen = body["last_seen"].as_u64().unwrap_or(0);
-                let deadline_ms = deadline_ms.min(clock_ms + MAX_HOLD_MS);
+                let deadline_ms = deadline_ms.min(clock_ms + MAX_LEASE_MS);
                 let worker = &mut self.workers[at];
                 worker.lease_end_ms = worker.lease_end_ms.max(deadline_ms);
                 worker.ended.retain(|(number, ..)| *number > seen);
-                worker.unnoted.retain(|number, _| *number > seen);
+                worker.unacknowledged.retain(|number, _| *number > seen);
                 let running: Vec<Value> = worker
                     .running
                     .iter()
-                    .map(|(task, there)| {
-                        let percent = there.until.map_or(0, |until| {
-                            let whole = until.duration_since(there.arrived).as_millis().max(1);
-                            there.arrived.elapsed().as_millis() * 100 / whole
+                    .map(|(task, active_run)| {
+                        let percent = active_run.until.map_or(0, |until| {
+                            let run_ms =
+                                until.duration_since(active_run.arrived).as_millis().max(1);
+                            active_run.arrived.elapsed().as_millis() * 100 / run_ms
                         });
-                        json!([task, there.run, "", percent.min(99) as u64])
+                        json!([task, active_run.run, "", percent.min(99) as u64])
                     })
                     .collect();
                 let finished: Vec<Value> = worker
                     .ended
                     .iter()
-                    .map(|(number, task, run, how)| json!([number, task, run, how, ""]))
+                    .map(|(number, task, run, end_kind)| json!([number, task, run, end_kind, ""]))
                     .collect();
-                let answer = json!({ "clock_ms": clock_ms, "born": worker.born_ms,
+                let answer = json!({ "clock_ms": clock_ms, "born": worker.incarnation_start_ms,
                     "running": running, "finished": finished });
                 return (StatusCode::OK, answer);
             }
@@ -842,29 +864,29 @@
 }
 
 impl Operator {
-    /// Starts the stand-in with so many workers of 8 accelerators.
+    /// Starts the stand-in with `worker_count` workers of 8 accelerators each.
     pub fn spawn(worker_count: usize) -> Self {
-        Self::spawn_behind(worker_count, |_, address| address)
+        Self::spawn_with_links(worker_count, |_, address| address)
     }
 
-    /// The same, with workers that register the address that `link` returns
-    /// for their own.
-    pub fn spawn_behind(
+    /// Like [`Operator::spawn`], but each worker registers the address that `link` returns
+    /// for its index and its own address.
+    pub fn spawn_with_links(
         worker_count: usize,
         mut link: impl FnMut(usize, SocketAddr) -> SocketAddr,
     ) -> Self {
         let world = World {
             mode: StoreMode::Serving,
             withheld_key: None,
-            guarded: true,
+            checks_capacity: true,
             keeps_names: false,
             late_starts: false,
             starts: 0,
-            overfull: Vec::new(),
+            overcommitted_starts: Vec::new(),
             records: Vec::new(),
             items: BTreeMap::new(),
             history: Vec::new(),
-            oldest: 0,
+            oldest_revision: 0,
             revision: 1,
             leases: HashMap::new(),
             next_lease: 1,
@@ -878,15 +900,15 @@
                         data_centre: "z".to_owned(),
                         ..FakeWorker::default()
                     };
-                    worker.begin()
+                    worker.start_incarnation()
                 })
                 .collect(),
             steps: HashMap::new(),
         };
         let world = Arc::new(Mutex::new(world));
         let shared = world.clone();
-        let (addresses, started) = std::sync::mpsc::channel();
-        let (bound, listening) = std::sync::mpsc::channel();
+        let (store_sender, store_receiver) = std::sync::mpsc::channel();
+        let (worker_sender, worker_receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let own = shared.clone();
@@ -897,29 +919,31 @@
                     let (address, serving) =
                         bind(move |request| answer_worker(own.clone(), at, request)).await;
                     actix_rt::spawn(serving);
-                    bound.send((at, address)).expect("the test waits");
+                    worker_sender
+                        .send((at, address))
+                        .expect("the test thread receives");
                 }
-                drop(bound);
+                drop(worker_sender);
                 actix_rt::spawn(async move {
                     loop {
                         lock(&shared).process_all_due_events();
                         actix_rt::time::sleep(DUE_EVENT_INTERVAL).await;
                     }
                 });
-                addresses.send(store).expect("the test waits");
+                store_sender.send(store).expect("the test thread receives");
                 serving.await;
             });
         });
-        for (at, address) in listening {
+        for (at, address) in worker_receiver {
             let mut world = lock(&world);
             world.workers[at].address = link(at, address).to_string();
             world.register(at, "ready");
         }
-        let store = started.recv().expect("the stand-in starts");
+        let store = store_receiver.recv().expect("the stand-in starts");
         Self { store, world }
     }
 
-    /// The stand-in's state.
+    /// Locks and returns the state of the stand-in.
     pub fn world(&self) -> MutexGuard<'_, World> {
         lock(&self.world)
     }
@@ -982,7 +1006,8 @@
     Response::new(status).set_body(BoxBody::new(Bytes::from(body.to_string())))
 }
 
-async fn never() -> Response<BoxBody> {
+/// Leaves a call without an answer for longer than any test takes.
+async fn no_answer() -> Response<BoxBody> {
     actix_rt::time::sleep(Duration::from_secs(3_600)).await;
     respond((StatusCode::OK, json!({})))
 }
@@ -991,7 +1016,7 @@
     let mode = lock(&world).mode;
     match mode {
         StoreMode::Refusing => return respond((StatusCode::SERVICE_UNAVAILABLE, json!({}))),
-        StoreMode::Silent => return never().await,
+        StoreMode::Silent => return no_answer().await,
         _ => {}
     }
     let body = body_of(&mut request).await;
@@ -1007,10 +1032,10 @@
     }
     let withheld = lock(&world).withheld_key;
     if path == "kv-key" && withheld.is_some_and(|key| query["key"] == key) {
-        return never().await;
+        return no_answer().await;
     }
     let mut world = lock(&world);
-    world.end_leases();
+    world.expire_leases();
     world.calls += 1;
     respond(match path.split_once('/').unwrap_or((&path, "")) {
         ("kv-key", _) => match world.item_json(&query["key"]) {
@@ -1052,17 +1077,17 @@
 }
 
 async fn watch(world: &Arc<Mutex<World>>, query: &HashMap<String, String>) -> Response<BoxBody> {
-    const POLL: Duration = Duration::from_millis(5);
+    const CHECK_INTERVAL: Duration = Duration::from_millis(5);
     let number = |field: &str| query[field].parse::<u64>().unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(number("wait_ms"));
     loop {
-        // A store that falls silent leaves waiting watches without an answer too.
+        // A store that stops answering does not answer waiting watches either.
         if lock(world).mode == StoreMode::Silent {
-            return never().await;
+            return no_answer().await;
         }
         {
             let mut world = lock(world);
-            world.end_leases();
+            world.expire_leases();
             let Some(events) = world.events_after(&query["prefix"], number("after")) else {
                 return respond((StatusCode::GONE, json!({})));
             };
@@ -1071,12 +1096,12 @@
                 return respond((StatusCode::OK, answer));
             }
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
 async fn transact(world: Arc<Mutex<World>>, mode: StoreMode, body: Value) -> Response<BoxBody> {
-    const LATE: Duration = Duration::from_millis(1_500);
+    const LATE_DELAY: Duration = Duration::from_millis(1_500);
     const LOST_ONE_IN: u64 = 3;
     let lost = {
         let mut world = lock(&world);
@@ -1086,14 +1111,14 @@
     match mode {
         StoreMode::LosingAnswers if lost => {
             lock(&world).transact(&body);
-            never().await
+            no_answer().await
         }
         StoreMode::Late if lost => {
             actix_rt::spawn(async move {
-                actix_rt::time::sleep(LATE).await;
+                actix_rt::time::sleep(LATE_DELAY).await;
                 lock(&world).transact(&body);
             });
-            never().await
+            no_answer().await
         }
         _ => respond(lock(&world).transact(&body)),
     }
@@ -1104,7 +1129,7 @@
     at: usize,
     mut request: Request,
 ) -> Response<BoxBody> {
-    const POLL: Duration = Duration::from_millis(5);
+    const CHECK_INTERVAL: Duration = Duration::from_millis(5);
     let expected = request.head().headers.get("expected-instance");
     let expected = expected
         .and_then(|value| value.to_str().ok())
@@ -1116,38 +1141,38 @@
         world.process_due_events(at);
         let worker = &world.workers[at];
         let is_expected = expected.as_deref() == Some(&*worker.id);
-        let receiver = is_expected.then_some((at, worker.lives));
+        let receiver = is_expected.then_some((at, worker.incarnation));
         (!world.is_out_of_reach(at)).then_some(receiver)
     };
     let receiver = match receiver {
-        None => return never().await,
+        None => return no_answer().await,
         Some(None) => return respond((StatusCode::MISDIRECTED_REQUEST, json!({}))),
         Some(Some(receiver)) => receiver,
     };
     let arrived = Instant::now();
     if call == "run-start" && lock(&world).is_late_start() {
         actix_rt::spawn(async move {
-            actix_rt::time::sleep(LATE_START).await;
+            actix_rt::time::sleep(LATE_START_DELAY).await;
             lock(&world).call_incarnation(receiver, &call, &body, arrived);
         });
-        return never().await;
+        return no_answer().await;
     }
     let wait_ms = body["wait_ms"].as_u64().unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(wait_ms);
     loop {
-        // A call that waits does not outlive its worker: carried over to the
-        // next incarnation, it would acknowledge ends that it never listed.
+        // A waiting call must not outlive its incarnation: carried out by the next one, it
+        // would acknowledge ends that its caller was never sent.
         let answer = lock(&world).call_incarnation(receiver, &call, &body, arrived);
         let Some(answer) = answer else {
-            return never().await;
+            return no_answer().await;
         };
-        let waits = call == "hold"
+        let keeps_waiting = call == "hold"
             && answer.0 == StatusCode::OK
             && answer.1["finished"].as_array().is_some_and(Vec::is_empty)
             && Instant::now() < until;
-        if !waits {
+        if !keeps_waiting {
             return respond(answer);
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,5 +1,6 @@
-//! A link between a daemon and a dependency that a test can harm: bytes held
-//! back, one way or both, connections that go silent for good, resets.
+//! A TCP proxy with which a test injects network faults between a daemon and a dependency:
+//! it delays bytes, holds them back in one or both directions, makes connections
+//! unresponsive for good and resets them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,48 +23,49 @@
     TcpStream, //
 };
 
-const POLL: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// How a link treats bytes.
+/// How a proxy treats bytes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkMode {
-    /// They pass.
+    /// It forwards them.
     Passing = 0,
-    /// Each chunk is late.
+    /// It delays each chunk.
     Slow = 1,
-    /// Calls arrive, and answers do not.
+    /// It forwards requests but holds back answers.
     AnswersCut = 2,
-    /// Nothing arrives.
+    /// It holds back everything.
     Cut = 3,
 }
 
-/// Delay of a chunk on a slow link.
-const SLOW: Duration = Duration::from_millis(120);
+/// Delay of a chunk in [`LinkMode::Slow`].
+const CHUNK_DELAY: Duration = Duration::from_millis(120);
 
 #[derive(Debug, Default)]
 struct Link {
     mode: AtomicU8,
-    /// Connections opened so far.
+    /// Number of connections opened so far; the first has number 1.
     opened: AtomicU64,
-    /// Connections up to this number are silent for good.
-    silent_up_to: AtomicU64,
+    /// Connections up to this number forward nothing any more.
+    unresponsive_up_to: AtomicU64,
     /// Connections up to this number are reset.
     reset_up_to: AtomicU64,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 pub struct Proxy {
+    /// The address to connect to.
     pub address: SocketAddr,
     link: Arc<Link>,
 }
 
 impl Proxy {
-    /// Starts a proxy before `target` on a thread of its own.
+    /// Starts a proxy in front of `target` on its own thread.
     pub fn spawn(target: SocketAddr) -> Self {
         let link = Arc::new(Link::default());
         let shared = link.clone();
-        let (bound, address) = std::sync::mpsc::channel();
+        let (sender, receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -71,27 +73,27 @@
                 .expect("a runtime");
             runtime.block_on(async move {
                 let listener = TcpListener::bind((target.ip(), 0)).await.expect("a port");
-                let own = listener.local_addr().expect("an address");
-                bound.send(own).expect("the test waits");
+                let own_address = listener.local_addr().expect("an address");
+                sender.send(own_address).expect("the test thread receives");
                 while let Ok((client, _)) = listener.accept().await {
                     let number = shared.opened.fetch_add(1, Ordering::SeqCst) + 1;
-                    tokio::spawn(join(client, target, number, shared.clone()));
+                    tokio::spawn(forward(client, target, number, shared.clone()));
                 }
             });
         });
-        let address = address.recv().expect("the proxy starts");
+        let address = receiver.recv().expect("the proxy starts");
         Self { address, link }
     }
 
-    /// Changes how bytes are treated.
+    /// Sets how the proxy treats bytes.
     pub fn set_mode(&self, mode: LinkMode) {
         self.link.mode.store(mode as u8, Ordering::SeqCst);
     }
 
-    /// Connections that are open now fall silent for good; new ones work.
-    pub fn silence_open(&self) {
+    /// Makes the connections that are open now unresponsive for good; new ones work.
+    pub fn stall_open(&self) {
         let opened = self.link.opened.load(Ordering::SeqCst);
-        self.link.silent_up_to.store(opened, Ordering::SeqCst);
+        self.link.unresponsive_up_to.store(opened, Ordering::SeqCst);
     }
 
     /// Resets the connections that are open now.
@@ -102,32 +104,34 @@
 }
 
 impl Link {
+    /// Waits until a connection has to be reset.
     async fn until_reset(&self, number: u64) {
         while number > self.reset_up_to.load(Ordering::SeqCst) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Waits until a chunk of a connection may go on.
-    async fn pass(&self, number: u64, is_answer: bool) {
+    /// Waits until a chunk of a connection may be forwarded.
+    async fn wait_to_forward(&self, number: u64, is_answer: bool) {
         let slow = LinkMode::Slow as u8;
         if self.mode.load(Ordering::SeqCst) == slow {
-            tokio::time::sleep(SLOW).await;
+            tokio::time::sleep(CHUNK_DELAY).await;
         }
         loop {
             let mode = self.mode.load(Ordering::SeqCst);
-            let silent = number <= self.silent_up_to.load(Ordering::SeqCst);
+            let unresponsive = number <= self.unresponsive_up_to.load(Ordering::SeqCst);
             let cut =
                 mode == LinkMode::Cut as u8 || (mode == LinkMode::AnswersCut as u8 && is_answer);
-            if !silent && !cut {
+            if !unresponsive && !cut {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
-async fn join(client: TcpStream, target: SocketAddr, number: u64, link: Arc<Link>) {
+/// Forwards one connection to `target` until it ends or has to be reset.
+async fn forward(client: TcpStream, target: SocketAddr, number: u64, link: Arc<Link>) {
     let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
@@ -135,15 +139,16 @@
     server.set_nodelay(true).ok();
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let there = pump(from_client, to_server, number, false, &link);
-    let back = pump(from_server, to_client, number, true, &link);
+    let requests = copy_chunks(from_client, to_server, number, false, &link);
+    let answers = copy_chunks(from_server, to_client, number, true, &link);
     tokio::select! {
         () = link.until_reset(number) => {}
-        _ = async { tokio::join!(there, back) } => {}
+        _ = async { tokio::join!(requests, answers) } => {}
     }
 }
 
-async fn pump(
+/// Copies one direction of a connection.
+async fn copy_chunks(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     number: u64,
@@ -152,11 +157,11 @@
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(length @ 1..) = from.read(&mut chunk).await {
-        link.pass(number, is_answer).await;
+        link.wait_to_forward(number, is_answer).await;
         if to.write_all(&chunk[..length]).await.is_err() {
             break;
         }
     }
-    // The other side learns of the end, unless it has gone as well.
+    // Passes the end of the stream on; this fails if the other side has closed too.
     to.shutdown().await.ok();
 }
