--- a/src/core/account.rs
+++ b/src/core/account.rs
@@ -1,29 +1,29 @@
-//! A client account inside a cell: its declaration, use and retry budget.
+//! A client account of a cell: its declaration, its use and its retry budget.
 
 use crate::config::AccountDeclaration;
 
 const MS_PER_MINUTE: f64 = 60_000.0;
 
-/// A client account and what it uses now.
+/// A client account with its current use.
 #[derive(Clone, Debug)]
 pub struct Account {
     /// What operators declared.
     pub declaration: AccountDeclaration,
-    /// Whether the declaration was withdrawn; its jobs finish, new ones don't
-    /// come in.
+    /// Whether the declaration was withdrawn: the account's jobs finish, but it
+    /// cannot submit new ones.
     pub withdrawn: bool,
-    /// Accelerators its jobs hold.
+    /// Accelerators that its jobs hold.
     pub used_accelerators: u32,
-    /// Of these, accelerators outside its own guarantees.
+    /// Accelerators that its jobs hold outside its own pledges.
     pub surplus_accelerators: u32,
-    /// Jobs that wait.
+    /// Number of its waiting jobs.
     pub waiting_jobs: u32,
     retry_tokens: f64,
     refilled_ms: u64,
 }
 
 impl Account {
-    /// An account without jobs and with a full retry budget.
+    /// Creates an account without jobs and with a full retry budget.
     pub fn new(declaration: AccountDeclaration, now_ms: u64) -> Self {
         Self {
             retry_tokens: f64::from(declaration.retries_per_minute),
@@ -36,8 +36,13 @@
         }
     }
 
-    /// Takes one retry from the budget; without one, says how long until the
-    /// next is there.
+    /// Takes one retry from the budget, also if none is left: the budget then
+    /// becomes negative.
+    ///
+    /// # Errors
+    ///
+    /// If none is left, returns the milliseconds until the budget has refilled
+    /// enough for this retry.
     pub fn take_retry(&mut self, now_ms: u64) -> Result<(), u64> {
         let per_minute = f64::from(self.declaration.retries_per_minute.max(1));
         let elapsed_ms = now_ms.saturating_sub(self.refilled_ms) as f64;
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! What is accepted, what is refused, and cancellation.
+//! Accepts or refuses submissions, queues accepted jobs and cancels jobs.
 
 use super::{
     AccountKey,
@@ -14,20 +14,21 @@
     StopKind,
     Submission,
     Worker,
-    cell::Due,
+    cell::JobTimer,
     queue::GroupKey,
     region,
     region::End, //
 };
 use crate::ledger::ChangeKind;
 
-/// When a caller refused for a full queue may ask again.
+/// Time after which a caller refused for a full queue may submit again.
 const FULL_RETRY_AFTER_MS: u64 = 5_000;
 
-/// Work is pressed when less than this part of its completion time is left
-/// before its latest start.
-const PRESSED_DIVISOR: u64 = 4;
-const MIN_PRESSED_MS: u64 = 30_000;
+/// A job of a class that can reclaim must start soon once the time to its latest
+/// start is at most the completion time of its class divided by this.
+const START_NOTICE_DIVISOR: u64 = 4;
+/// Shortest time before its latest start from which such a job must start soon.
+const MIN_START_NOTICE_MS: u64 = 30_000;
 
 impl Cell {
     pub(super) fn submit(&mut self, token: u64, submission: Submission) {
@@ -35,10 +36,14 @@
             Ok(found) => found,
             Err(reason) => return self.refuse(token, reason, 0),
         };
-        // The first answer to this key was lost or the caller was impatient:
-        // the key finds the job that the first submission made.
-        let name = (account, submission.idempotency_key.clone());
-        if let Some(job) = self.by_key.get(&name).and_then(|&key| self.jobs.get(key)) {
+        // A caller submits again under the same key when an answer was lost or
+        // came too late. The answer names the job of the first submission.
+        let idempotency_key = (account, submission.idempotency_key.clone());
+        if let Some(job) = self
+            .by_idempotency_key
+            .get(&idempotency_key)
+            .and_then(|&key| self.jobs.get(key))
+        {
             if job.submission != submission {
                 return self.refuse(token, RefusalReason::KeyReused, 0);
             }
@@ -86,7 +91,7 @@
             not_run: true,
             retry_after_ms,
         };
-        if !self.is_possible(job) {
+        if !self.is_feasible(job) {
             return Err(refusal(RefusalReason::ImpossibleShape, 0));
         }
         let quota = self.accounts[account.index()]
@@ -113,41 +118,44 @@
         Ok(())
     }
 
-    /// Whether the shape fits an empty data centre under the guarantees.
-    pub(super) fn is_possible(&mut self, job: &Job) -> bool {
+    /// Returns whether an empty data centre could hold the job: inside a pledge
+    /// of its account, or outside all pledges, or anywhere if the job may be
+    /// preempted.
+    pub(super) fn is_feasible(&mut self, job: &Job) -> bool {
         let yields = self.may_yield(job);
-        let cached = (job.account, job.shape, yields);
-        if let Some(&possible) = self.possible.get(&cached) {
-            return possible;
+        let cache_key = (job.account, job.shape, yields);
+        if let Some(&feasible) = self.feasible.get(&cache_key) {
+            return feasible;
         }
         let in_pledge = self
             .pledges
             .iter()
             .any(|pledge| pledge.account == job.account && job.shape.fits_within(&pledge.shape));
-        let open = |worker: &Worker| match yields {
+        let usable = |worker: &Worker| match yields {
             true => worker.all,
             false => worker.all & !worker.pledged,
         };
-        let possible = in_pledge
+        let feasible = in_pledge
             || region::find(
                 &self.fleet,
-                &self.fleet.index_of(open),
+                &self.fleet.index_of(usable),
                 &job.shape,
                 End::First,
             )
             .is_some();
-        self.possible.insert(cached, possible);
-        possible
+        self.feasible.insert(cache_key, feasible);
+        feasible
     }
 
-    /// By how much the job would miss its class, if it would: it cannot start
-    /// now, and the work ahead of it takes longer than it can wait.
+    /// Returns by how much the job would miss the completion time of its class.
+    /// Returns `None` if the job can start now, or if the waiting work of classes
+    /// with the same or a shorter completion time leaves it enough time.
     fn expected_lateness_ms(&self, job: &Job) -> Option<u64> {
         if self.find_plan(None, job).is_some() {
             return None;
         }
         let completion_ms = self.class(job.class).completion_ms;
-        let ahead: u64 = self
+        let work_ahead: u64 = self
             .classes
             .iter()
             .filter(|class| class.declaration.completion_ms <= completion_ms)
@@ -159,26 +167,27 @@
             .filter(|(_, worker)| worker.takes_work())
             .map(|(_, worker)| u64::from(worker.all.count_ones()))
             .sum();
-        let wait_ms = ahead / capacity.max(1);
+        let wait_ms = work_ahead / capacity.max(1);
         let slack_ms = job.latest_start_ms.saturating_sub(self.now_ms);
         (wait_ms > slack_ms).then(|| wait_ms - slack_ms)
     }
 
-    /// Whether the job's next attempt may be taken back by a preemption.
+    /// Returns whether the job's next attempt may be preempted.
     ///
-    /// A job that must run at most once is never preempted, and neither is one
-    /// that was preempted as often as its class allows: it waits for a place
-    /// that nobody can call back, so that it cannot be put off for ever.
+    /// A job that must run at most once is never preempted. Neither is a job that
+    /// was preempted as often as its class allows: it waits for accelerators
+    /// outside the guarantees of other accounts, so that it is not delayed
+    /// without bound.
     pub(super) fn may_yield(&self, job: &Job) -> bool {
         let class = self.class(job.class);
         class.reclaimable && job.submission.idempotent && job.preemptions < class.max_preemptions
     }
 
-    /// Whether the job has to start soon to make its class, and cannot be put
-    /// off for others.
+    /// Returns whether the job may not be delayed for others: its class is
+    /// urgent, or its class can preempt and its latest start is close.
     pub(super) fn is_pressed(&self, job: &Job) -> bool {
         let class = self.class(job.class);
-        let notice_ms = (class.completion_ms / PRESSED_DIVISOR).max(MIN_PRESSED_MS);
+        let notice_ms = (class.completion_ms / START_NOTICE_DIVISOR).max(MIN_START_NOTICE_MS);
         class.urgent || class.reclaims && job.latest_start_ms <= self.now_ms + notice_ms
     }
 
@@ -191,39 +200,43 @@
         }
     }
 
-    fn work_of(&self, job: &Job) -> u64 {
+    fn remaining_work(&self, job: &Job) -> u64 {
         self.remaining_ms(job) * u64::from(job.shape.accelerators())
     }
 
-    /// Puts a job into the queue at its latest start.
+    /// Adds a job to the queue, ordered by its latest start.
     pub(super) fn enqueue(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         let expected_ms = self.remaining_ms(job);
         let latest_start_ms = self.latest_start_ms(job, expected_ms);
-        let (group, work) = (self.group_of(job), self.work_of(job));
+        let (group, work) = (self.group_of(job), self.remaining_work(job));
         let (account, class, id) = (job.account, job.class, key);
         self.queue.insert(group, latest_start_ms, id);
-        self.due
-            .insert((latest_start_ms.max(self.now_ms + 1), key, Due::Late));
+        self.timers.insert((
+            latest_start_ms.max(self.now_ms + 1),
+            key,
+            JobTimer::LatestStart,
+        ));
         self.accounts[account.index()].waiting_jobs += 1;
         self.classes[class.index()].waiting_jobs += 1;
         self.classes[class.index()].waiting_work += work;
         let now_ms = self.now_ms;
         if let Some(job) = self.jobs.get_mut(key) {
             job.state = JobState::Queued;
-            job.since_ms = now_ms;
+            job.state_since_ms = now_ms;
             job.latest_start_ms = latest_start_ms;
             job.waiting_work = work;
-            job.queued_as = Some(group);
+            job.queue_group = Some(group);
         }
         self.changed = true;
     }
 
-    /// The latest start that still makes the class. A job that is too late for
-    /// that goes behind those that are not, with the next multiple of its
-    /// completion time as its target, so that it is not put off for ever.
+    /// Returns the latest start with which the job meets its deadline. If that
+    /// start has passed, the result is moved on by whole completion times of the
+    /// class until it is not in the past: the job is ordered behind jobs that can
+    /// still meet theirs, but not delayed without bound.
     fn latest_start_ms(&self, job: &Job, expected_ms: u64) -> u64 {
         let completion_ms = self.class(job.class).completion_ms.max(1);
         let on_time_ms = job.deadline_ms.saturating_sub(expected_ms);
@@ -234,12 +247,12 @@
         on_time_ms + periods * completion_ms
     }
 
-    /// Takes a job out of the queue; says whether it waited there.
+    /// Removes a job from the queue and returns whether it was there.
     pub(super) fn dequeue(&mut self, key: JobKey) -> bool {
         let Some(job) = self.jobs.get_mut(key) else {
             return false;
         };
-        let Some(group) = job.queued_as.take() else {
+        let Some(group) = job.queue_group.take() else {
             return false;
         };
         let (latest_start_ms, work) = (job.latest_start_ms, job.waiting_work);
@@ -247,7 +260,8 @@
         if !self.queue.remove(group, latest_start_ms, key) {
             return false;
         }
-        self.due.remove(&(latest_start_ms, key, Due::Late));
+        self.timers
+            .remove(&(latest_start_ms, key, JobTimer::LatestStart));
         self.accounts[account.index()].waiting_jobs -= 1;
         self.classes[class.index()].waiting_jobs -= 1;
         let waiting_work = &mut self.classes[class.index()].waiting_work;
@@ -255,28 +269,31 @@
         true
     }
 
-    pub(super) fn became_late(&mut self, key: JobKey) {
+    /// Queues a job again with its next target, keeping the time since which it
+    /// waits.
+    pub(super) fn requeue_late(&mut self, key: JobKey) {
         let queued = |job: &Job| job.state == JobState::Queued;
         if self.jobs.get(key).is_some_and(queued) && self.dequeue(key) {
-            let since_ms = self.jobs.get(key).map_or(0, |job| job.since_ms);
+            let state_since_ms = self.jobs.get(key).map_or(0, |job| job.state_since_ms);
             self.enqueue(key);
             if let Some(job) = self.jobs.get_mut(key) {
-                job.since_ms = since_ms;
+                job.state_since_ms = state_since_ms;
             }
         }
     }
 
-    /// Cancels jobs. The wish is made durable for each before it is confirmed,
-    /// so that the death of the owner does not bring a cancelled job back.
+    /// Cancels those of `jobs` that belong to `account` and have not ended. The
+    /// cancellations are stored before they are confirmed, so that no later owner
+    /// resumes a cancelled job.
     pub(super) fn cancel(&mut self, token: u64, account: &str, jobs: &[JobId]) {
         let mut count = 0;
         for id in jobs {
             let Some(&key) = self.by_id.get(id) else {
                 continue;
             };
-            let own =
+            let cancellable =
                 |job: &&mut Job| job.submission.account == account && job.state != JobState::Ended;
-            let Some(job) = self.jobs.get_mut(key).filter(own) else {
+            let Some(job) = self.jobs.get_mut(key).filter(cancellable) else {
                 continue;
             };
             job.cancelling = true;
--- a/src/core/arena.rs
+++ b/src/core/arena.rs
@@ -1,8 +1,9 @@
-//! A generational arena of jobs.
+//! An arena with generational keys.
 
 use super::JobKey;
 
-/// Values addressed by [`JobKey`]; a key of a removed value finds nothing.
+/// Stores values under a [`JobKey`]. The key of a removed value is stale and
+/// finds nothing, also when its slot is used again.
 #[derive(Debug)]
 pub struct Arena<T> {
     slots: Vec<Slot<T>>,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Removes the value of `key`, if the key is not stale.
+    /// Removes and returns the value of `key`; `None` if the key is stale.
     pub fn remove(&mut self, key: JobKey) -> Option<T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -58,7 +59,7 @@
         Some(value)
     }
 
-    /// The value of `key`, if the key is not stale.
+    /// Returns the value of `key`; `None` if the key is stale.
     pub fn get(&self, key: JobKey) -> Option<&T> {
         let slot = self.slots.get(key.index as usize)?;
         (slot.generation == key.generation)
@@ -66,7 +67,7 @@
             .flatten()
     }
 
-    /// The value of `key` for change, if the key is not stale.
+    /// Returns the value of `key` mutably; `None` if the key is stale.
     pub fn get_mut(&mut self, key: JobKey) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         (slot.generation == key.generation)
@@ -74,17 +75,17 @@
             .flatten()
     }
 
-    /// Number of values held.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.slots.len() - self.vacant.len()
     }
 
-    /// Whether the arena holds nothing.
+    /// Returns whether the arena has no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All keys with their values, in slot order.
+    /// Returns all keys with their values, in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (JobKey, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let key = JobKey {
--- a/src/core/cell.rs
+++ b/src/core/cell.rs
@@ -1,4 +1,4 @@
-//! The state of one data centre and the way commands change it.
+//! Holds the state of one data centre and applies commands to it.
 
 use super::{
     Account,
@@ -33,30 +33,33 @@
     HashMap, //
 };
 
-/// Bounds of the decision core; the defaults are what the daemon runs with.
+/// Bounds of the decision core. The daemon runs with the defaults.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Failures after which a job is given up.
+    /// Number of failures after which a job ends as failed.
     pub max_failures: u32,
-    /// Different healthy workers on which a job may fail.
+    /// Number of different healthy workers on which a job fails before it ends as
+    /// unable to run.
     pub max_failed_workers: usize,
-    /// Time for all members of a gang to confirm.
+    /// Time within which all members of a gang have to confirm their start.
     pub start_timeout_ms: u64,
-    /// How long an ended job is remembered, and with it its idempotency key.
+    /// How long an ended job and its idempotency key are kept.
     pub retention_ms: u64,
-    /// Different jobs failing in a row that quarantine a worker.
+    /// Number of different jobs that fail in a row on a worker before it is
+    /// quarantined.
     pub quarantine_failures: usize,
-    /// First length of a quarantine.
+    /// Length of the first quarantine of a worker.
     pub quarantine_ms: u64,
-    /// Gangs for which workers are kept at a time.
+    /// Number of waiting gangs for which workers are reserved at a time.
     pub kept_gangs: usize,
-    /// Groups of waiting jobs tried in one pass.
+    /// Number of groups of waiting jobs that cannot be placed after which a pass
+    /// ends.
     pub groups_per_pass: usize,
-    /// Jobs placed in one pass.
+    /// Jobs that may be placed in one pass.
     pub placements_per_pass: usize,
-    /// First wait before a failed job is tried again.
+    /// Base of the backoff of a job, which doubles with each failure.
     pub backoff_ms: u64,
-    /// Longest such wait.
+    /// Longest backoff.
     pub max_backoff_ms: u64,
 }
 
@@ -78,7 +81,7 @@
     }
 }
 
-/// A class as the cell keeps it.
+/// A class of work and its waiting jobs.
 #[derive(Clone, Debug)]
 pub(super) struct Class {
     pub declaration: ClassDeclaration,
@@ -88,20 +91,21 @@
     pub waiting_work: u64,
 }
 
-/// Something that becomes due for a job.
+/// An action that is scheduled for a job.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Due {
-    /// The backoff is over.
+pub(super) enum JobTimer {
+    /// Queues the job again at the end of its backoff.
     Retry,
-    /// The gang should have confirmed by now.
+    /// Fails the attempt if its gang has not confirmed its start.
     StartTimeout { attempt: u32 },
-    /// The latest start has passed.
-    Late,
-    /// The retention is over.
-    Forget,
+    /// Queues the job with a later target when its latest start has passed.
+    LatestStart,
+    /// Deletes the ended job at the end of its retention.
+    DeleteJob,
 }
 
-/// One data centre: workers, accounts, jobs and the witness.
+/// The state of one data centre: its workers, accounts and jobs, and the
+/// accelerators pledged to each guaranteed shape.
 #[derive(Debug, Default)]
 pub struct Cell {
     pub(super) data_centre: String,
@@ -119,23 +123,28 @@
     pub(super) reported_shortfalls: Vec<Shortfall>,
     pub(super) jobs: Arena<Job>,
     pub(super) by_id: HashMap<JobId, JobKey>,
-    pub(super) by_key: HashMap<(AccountKey, String), JobKey>,
+    pub(super) by_idempotency_key: HashMap<(AccountKey, String), JobKey>,
     pub(super) queue: Queue,
+    /// Waiting gangs with the workers reserved for them.
     pub(super) kept: Vec<KeptGang>,
     pub(super) estimator: Estimator,
-    pub(super) due: BTreeSet<(u64, JobKey, Due)>,
-    pub(super) possible: HashMap<(AccountKey, Shape, bool), bool>,
-    /// Accelerators of workers that take work, outside every pledge.
+    pub(super) timers: BTreeSet<(u64, JobKey, JobTimer)>,
+    /// Cached results of `is_feasible` by account, shape and whether the job may be
+    /// preempted.
+    pub(super) feasible: HashMap<(AccountKey, Shape, bool), bool>,
+    /// Number of accelerators outside every pledge, on workers that take work.
     pub(super) surplus_size: u32,
     pub(super) headroom: Headroom,
     pub(super) effects: Vec<Effect>,
+    /// Whether a scheduling pass is due.
     pub(super) changed: bool,
     pub(super) paused: bool,
+    /// Jobs that may still be placed in the current pass.
     pub(super) placements_left: usize,
 }
 
 impl Cell {
-    /// An empty cell for `data_centre` whose jobs carry `epoch`.
+    /// Creates an empty cell for `data_centre` that accepts jobs under `epoch`.
     pub fn new(data_centre: &str, epoch: u64, limits: Limits) -> Self {
         Self {
             data_centre: data_centre.to_owned(),
@@ -145,7 +154,7 @@
         }
     }
 
-    /// Changes the state as `command` says and decides what follows.
+    /// Applies `command` and returns the effects that the owner has to carry out.
     pub fn apply(&mut self, command: Command, now_ms: u64) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         match command {
@@ -158,7 +167,7 @@
                 account,
                 jobs,
             } => self.cancel(token, &account, &jobs),
-            Command::Member(report) => self.member_report(report),
+            Command::Member(report) => self.handle_member_report(report),
             Command::WorkerLeaving(name) => self.worker_leaving(&name),
             Command::WorkerLost(name) => self.worker_lost(&name),
             Command::WorkerRestarted(name) => self.worker_restarted(&name),
@@ -175,8 +184,8 @@
     }
 
     fn configure(&mut self, configuration: &Configuration) {
-        // A configuration never reverts: a late or repeated older version, as
-        // a lagging watch may deliver, is passed over.
+        // A configuration never reverts: a lagging watch may deliver an older
+        // version late or again, which is ignored.
         if configuration.version <= self.configuration_version && !self.classes.is_empty() {
             return;
         }
@@ -239,10 +248,10 @@
         self.place_pledges();
     }
 
-    /// Forgets what was concluded from the workers, pledges and limits of
-    /// before, and tries every waiting job again.
+    /// Discards what was derived from the previous workers, pledges and
+    /// declarations, and makes every waiting job eligible for the next pass.
     pub(super) fn topology_changed(&mut self) {
-        self.possible.clear();
+        self.feasible.clear();
         let in_surplus = |worker: &Worker| worker.usable_by(false).count_ones();
         self.surplus_size = self.fleet.workers().map(|(_, w)| in_surplus(w)).sum();
         self.queue.unblock_all();
@@ -250,16 +259,16 @@
     }
 
     fn tick(&mut self) {
-        while let Some(&(due_ms, key, due)) = self.due.first() {
+        while let Some(&(due_ms, key, timer)) = self.timers.first() {
             if due_ms > self.now_ms {
                 break;
             }
-            self.due.pop_first();
-            match due {
-                Due::Retry => self.retry_due(key),
-                Due::StartTimeout { attempt } => self.start_timeout(key, attempt),
-                Due::Late => self.became_late(key),
-                Due::Forget => self.forget(key),
+            self.timers.pop_first();
+            match timer {
+                JobTimer::Retry => self.retry_due(key),
+                JobTimer::StartTimeout { attempt } => self.start_timeout(key, attempt),
+                JobTimer::LatestStart => self.requeue_late(key),
+                JobTimer::DeleteJob => self.delete_job(key),
             }
         }
         self.end_quarantines();
@@ -270,13 +279,13 @@
         self.changed = true;
     }
 
-    fn forget(&mut self, key: JobKey) {
+    fn delete_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else {
             return;
         };
         self.by_id.remove(&job.id);
-        let name = (job.account, job.submission.idempotency_key);
-        self.by_key.remove(&name);
+        let idempotency_key = (job.account, job.submission.idempotency_key);
+        self.by_idempotency_key.remove(&idempotency_key);
         self.persist(crate::ledger::ChangeKind::Forgotten(job.id.0));
     }
 
@@ -299,14 +308,16 @@
         &self.classes[key.index()].declaration
     }
 
-    /// The run time still ahead of a job, corrected by what was learned.
+    /// Returns the estimated remaining run time of a job: its corrected declared
+    /// run time without the saved progress.
     pub(super) fn remaining_ms(&self, job: &Job) -> u64 {
         self.estimator
             .corrected_ms(job.account, job.class, job.submission.declared_run_ms)
             .saturating_sub(job.progress_ms)
     }
 
-    /// Takes a new job into the arena; used for submissions and recovery.
+    /// Builds a queued job from a submission or from the ledger. Returns `None`
+    /// if its account or class is not known.
     pub(super) fn new_job(
         &mut self,
         id: JobId,
@@ -329,7 +340,7 @@
             deadline_ms,
             latest_start_ms: deadline_ms.saturating_sub(expected_ms),
             state: JobState::Queued,
-            since_ms: self.now_ms,
+            state_since_ms: self.now_ms,
             attempt: 0,
             members: Vec::new(),
             pledge: None,
@@ -341,10 +352,10 @@
             moves: 0,
             failures: 0,
             failed_workers: Vec::new(),
-            ran_before: false,
+            earlier_may_have_begun: false,
             keep_after_ms: 0,
             cancelling: false,
-            queued_as: None,
+            queue_group: None,
             waiting_work: 0,
             answer: None,
             outcome: crate::ledger::OutcomeCode::None,
@@ -354,46 +365,50 @@
 
     pub(super) fn insert_job(&mut self, job: Job) -> JobKey {
         let (id, account) = (job.id, job.account);
-        let name = job.submission.idempotency_key.clone();
+        let idempotency_key = job.submission.idempotency_key.clone();
         let key = self.jobs.insert(job);
         self.by_id.insert(id, key);
-        self.by_key.insert((account, name), key);
+        self.by_idempotency_key
+            .insert((account, idempotency_key), key);
         key
     }
 
-    /// The version of the configuration in force here.
+    /// Returns the version of the configuration in force.
     pub fn configuration_version(&self) -> u64 {
         self.configuration_version
     }
 
-    /// The workers.
+    /// Returns the workers.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The jobs, ended ones included while they are remembered.
+    /// Returns all jobs, including ended ones until their retention is over.
     pub fn jobs(&self) -> impl Iterator<Item = (JobKey, &Job)> {
         self.jobs.iter()
     }
 
-    /// The job of `id`.
+    /// Returns the job with the identity `id`.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.by_id.get(&id).and_then(|&key| self.jobs.get(key))
     }
 
-    /// The job that an account's idempotency key belongs to.
+    /// Returns the job that an account submitted under an idempotency key.
     pub fn job_of_key(&self, account: &str, key: &str) -> Option<JobId> {
-        let name = (self.account_named(account)?, key.to_owned());
-        let job = self.by_key.get(&name).and_then(|&key| self.jobs.get(key));
+        let idempotency_key = (self.account_named(account)?, key.to_owned());
+        let job = self
+            .by_idempotency_key
+            .get(&idempotency_key)
+            .and_then(|&key| self.jobs.get(key));
         job.map(|job| job.id)
     }
 
-    /// The client accounts, withdrawn ones included.
+    /// Returns the client accounts, including withdrawn ones.
     pub fn accounts(&self) -> &[Account] {
         &self.accounts
     }
 
-    /// Number of jobs that wait.
+    /// Returns the number of jobs in the queue.
     pub fn waiting(&self) -> usize {
         self.queue.waiting()
     }
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -1,4 +1,4 @@
-//! What can happen to a cell.
+//! The commands that change a cell.
 
 use super::{
     AttemptId,
@@ -10,29 +10,30 @@
 pub use crate::ledger::Submission;
 use std::sync::Arc;
 
-/// A worker as the platform's list names it.
+/// A worker in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkerSpec {
-    /// The platform's name.
+    /// The platform's name of the worker.
     pub name: String,
-    /// Its rack; racks whose names follow one another are neighbours.
+    /// Its rack; racks that are adjacent in name order are neighbours.
     pub rack: String,
-    /// Its accelerators.
+    /// Number of its accelerators.
     pub accelerators: u16,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// What became of one member of a gang.
+/// What happened to one member of a gang.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MemberEvent {
     /// The worker holds the reservation.
     Reserved,
-    /// The worker did not reserve; the task did not and will not begin there.
+    /// The worker refused the reservation; the task did not and will not begin
+    /// there.
     ReserveRefused,
     /// The task runs.
     Started,
-    /// The worker did not start; the task did not and will not begin there.
+    /// The worker refused the start; the task did not and will not begin there.
     StartRefused,
     /// The task finished with an answer.
     Finished(AnswerRecord),
@@ -40,70 +41,70 @@
     Failed,
     /// The task is stopped.
     Stopped {
-        /// Work that its checkpoint saved.
+        /// Run time covered by its checkpoint.
         progress_ms: u64,
     },
-    /// A new owner learned that the worker knows the attempt and that it had
-    /// not begun, and the worker will not begin it any more.
+    /// The worker knows the attempt, has not begun its task and will not begin
+    /// it any more.
     NotBegun,
-    /// A new owner learned that the worker knows nothing of the attempt.
+    /// The worker does not know the attempt.
     Unknown,
-    /// The worker restarted, and the task was lost with it, begun or not.
+    /// The worker restarted and lost the task, which may have begun.
     LostInRestart,
 }
 
-/// News of one member.
+/// A report about one member of a gang.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberReport {
-    /// Whose member.
+    /// The attempt of the gang.
     pub attempt: AttemptId,
-    /// On which worker.
+    /// Name of the member's worker.
     pub worker: String,
-    /// What became of it.
+    /// What happened to the member.
     pub event: MemberEvent,
 }
 
 /// A change to the state of a cell.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// A version of the configuration; an older one than the one in force is
-    /// passed over.
+    /// A version of the configuration. One that is not newer than the version in
+    /// force is ignored.
     Configure(Arc<Configuration>),
-    /// The platform's list of this data centre's workers.
+    /// The platform's list of the workers of this data centre.
     Workers(Vec<WorkerSpec>),
-    /// What the ledger holds, given once to a new owner.
+    /// The jobs in the ledger, given once to a new owner.
     Recover(Vec<RecoveredJob>),
-    /// A caller's job; `token` comes back with the effect that answers it.
+    /// A submission. The effect that answers it carries `token`.
     Submit {
         /// The request to answer.
         token: u64,
-        /// What the caller wants.
+        /// The job to run.
         submission: Submission,
     },
-    /// Cancels those of the jobs that are the account's, all in one pass;
-    /// `token` comes back with the effect that answers it.
+    /// Cancels in one step those of the jobs that belong to the account. The effect that
+    /// answers the request carries `token`.
     Cancel {
         /// The request to answer.
         token: u64,
-        /// The account whose jobs they have to be.
+        /// The account that has to own the jobs.
         account: String,
         /// The jobs.
         jobs: Vec<JobId>,
     },
-    /// News of a member.
+    /// A report about a member of a gang.
     Member(MemberReport),
-    /// The worker itself says that it is leaving.
+    /// The worker reports that it is leaving.
     WorkerLeaving(String),
-    /// The worker's lease has certainly ended: nothing runs there any more.
+    /// The worker's lease has certainly expired: nothing runs there any more.
     WorkerLost(String),
-    /// The worker restarted and has forgotten its tasks.
+    /// The worker restarted and lost its tasks.
     WorkerRestarted(String),
-    /// The worker answers again after it was lost, or is no longer leaving.
+    /// The worker responds again after it was lost, or is no longer leaving.
     WorkerReturned(String),
-    /// Asks a worker again for the tasks that are believed to run there.
+    /// Inspects again the attempts that should be running on a worker.
     Reinspect(String),
-    /// Stops or resumes placing work; running work goes on.
+    /// Pauses or resumes the placement of jobs; running jobs continue.
     Pause(bool),
-    /// Time has passed.
+    /// Runs due timers and periodic work.
     Tick,
 }
--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -1,4 +1,4 @@
-//! What a decision asks the owner to carry out.
+//! The effects of a command, which the owner carries out, and their reasons.
 
 use super::{
     AttemptId,
@@ -28,24 +28,24 @@
     AccountQueueFull,
     /// The class has too many waiting jobs.
     ClassQueueFull,
-    /// The completion time cannot be made.
+    /// The job is expected to miss the completion time of its class.
     CannotMeetClass,
-    /// The key was used for a different submission.
+    /// The idempotency key was used for a different submission.
     KeyReused,
-    /// The owner cannot vouch that its configuration is in force.
+    /// The owner cannot be sure that its configuration is the one in force.
     ConfigurationStale,
-    /// The owner cannot commit.
+    /// The owner cannot commit to the store.
     StoreUnavailable,
     /// The daemon is draining.
     Draining,
     /// No owner is known for the data centre.
     NoOwner,
-    /// Too many requests are being worked on.
+    /// Too many requests are in progress.
     Overloaded,
 }
 
 impl RefusalReason {
-    /// All reasons, for tests and docs.
+    /// All reasons.
     pub const ALL: [RefusalReason; 13] = [
         Self::UnknownAccount,
         Self::UnknownClass,
@@ -62,7 +62,7 @@
         Self::Overloaded,
     ];
 
-    /// The reason as counters and answers name it.
+    /// Returns the name of the reason in counters and answers.
     pub fn name(self) -> &'static str {
         match self {
             Self::UnknownAccount => "unknown_account",
@@ -81,12 +81,12 @@
         }
     }
 
-    /// The reason of that name.
+    /// Returns the reason called `name`.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.name() == name)
     }
 
-    /// What a caller can do about it.
+    /// Returns what a caller can do about the refusal.
     pub fn remedy(self) -> &'static str {
         match self {
             Self::UnknownAccount => "ask an operator to declare the account",
@@ -111,41 +111,42 @@
 pub struct Refusal {
     /// Why.
     pub reason: RefusalReason,
-    /// The job did not run and will not run. Only an owner whose lease stands
-    /// and whose ledger does not know the key can say so; everybody else can
-    /// only say that this request was not accepted.
+    /// Whether it is certain that the job did not run and will not run. Only an
+    /// owner with a valid lease whose ledger does not contain the idempotency key
+    /// can know this; any other daemon knows only that it did not accept the
+    /// request.
     pub not_run: bool,
-    /// When it may be worth asking again; 0 for never.
+    /// Time after which submitting again may succeed; 0 for never.
     pub retry_after_ms: u64,
 }
 
 /// Why an attempt is repeated; each reason has a counter.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RetryReason {
-    /// A worker did not reserve.
+    /// A worker refused the reservation.
     ReserveRefused,
-    /// A worker did not start the task.
+    /// A worker refused to start the task.
     StartRefused,
     /// The task failed.
     TaskFailed,
     /// A worker was lost.
     WorkerLost,
-    /// The worker stopped the task by itself, as when its lease ended.
+    /// The worker stopped the task by itself, for example when its lease expired.
     TaskStopped,
-    /// The gang did not become whole in time.
+    /// Not all members of the gang confirmed their start in time.
     StartTimeout,
-    /// A new owner found the attempt not begun.
+    /// A new owner found that the attempt had not begun.
     FoundNotBegun,
     /// A new owner found only some members of the gang.
     FoundPartial,
-    /// The accelerators were called back.
+    /// The attempt was preempted.
     Preempted,
-    /// It was moved out of the way of a large gang.
+    /// The attempt was moved to make space for a large gang.
     Moved,
 }
 
 impl RetryReason {
-    /// The reason as counters name it.
+    /// Returns the name of the reason in counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::ReserveRefused => "reserve_refused",
@@ -165,9 +166,9 @@
 /// Why a gang is being stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopKind {
-    /// Its accelerators were called back.
+    /// Other work preempts it.
     Preempt,
-    /// A large gang needs its place and it can go on elsewhere.
+    /// A large gang needs its place, and it can continue elsewhere.
     Move,
     /// The caller cancelled it.
     Cancel,
@@ -184,12 +185,13 @@
     pub answer: Option<AnswerRecord>,
 }
 
-/// Something for the owner to carry out.
+/// An action or a message that the owner carries out. Gated effects wait until
+/// every earlier change is durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Make the change durable before any later gated effect is carried out.
+    /// Make the change durable.
     Persist(Change),
-    /// Ask a worker to reserve for an attempt.
+    /// Ask a worker to reserve accelerators for an attempt.
     Reserve {
         /// The attempt.
         attempt: AttemptId,
@@ -204,12 +206,12 @@
         attempt: AttemptId,
         /// The worker.
         worker: WorkerKey,
-        /// Work that an earlier checkpoint saved.
+        /// Run time already covered by an earlier checkpoint.
         progress_ms: u64,
-        /// What the task is given.
+        /// Input of the task.
         payload: Bytes,
     },
-    /// Tell a worker to stop an attempt; also ends a reservation.
+    /// Tell a worker to stop the task of an attempt or to release its reservation.
     Stop {
         /// The attempt.
         attempt: AttemptId,
@@ -218,35 +220,36 @@
         /// Time for a checkpoint; 0 for none.
         grace_ms: u64,
     },
-    /// Ask a worker what it knows of an attempt.
+    /// Ask a worker for the state of an attempt.
     Inspect {
         /// The attempt.
         attempt: AttemptId,
         /// The worker.
         worker: WorkerKey,
     },
-    /// The submission was accepted, or found accepted before; gated.
+    /// Answer that the submission is accepted, now or by an earlier request; gated.
     Accepted {
         /// The request.
         token: u64,
         /// The job.
         job: JobId,
     },
-    /// The submission is refused.
+    /// Answer that the submission is refused.
     Refused {
         /// The request.
         token: u64,
         /// Why.
         refusal: Refusal,
     },
-    /// So many jobs are being cancelled and will not come back; gated.
+    /// Answer that jobs are being cancelled and will not be resumed; gated.
     Cancelled {
         /// The request.
         token: u64,
-        /// How many of the jobs were the account's and had not ended.
+        /// Number of the requested jobs that belong to the account and had not
+        /// ended.
         count: u32,
     },
-    /// An attempt is over and the job will be tried again.
+    /// An attempt ended and the job will be tried again.
     Retried {
         /// The job.
         job: JobId,
@@ -260,22 +263,23 @@
         /// How.
         outcome: Outcome,
     },
-    /// A worker fails what it starts and gets none until probation.
+    /// A worker fails the jobs it starts and gets none until its probation.
     Quarantined {
         /// The worker.
         worker: WorkerKey,
     },
-    /// The guarantees of some accounts cannot all be had back now.
+    /// Some guaranteed shapes of an account cannot be provided now.
     Shortfall {
         /// The account's name.
         account: String,
-        /// Shapes without a place.
+        /// Number of those shapes.
         missing: u16,
     },
 }
 
 impl Effect {
-    /// Whether the effect has to wait until every earlier change is durable.
+    /// Returns whether the effect has to wait until every earlier change is
+    /// durable.
     pub fn is_gated(&self) -> bool {
         matches!(
             self,
--- a/src/core/explain.rs
+++ b/src/core/explain.rs
@@ -1,4 +1,4 @@
-//! Queries: why a job waits, what an account has, how a worker stands.
+//! Reports on jobs, accounts and workers for clients and operators.
 
 use super::{
     Cell,
@@ -10,26 +10,26 @@
     worker::bits, //
 };
 
-/// What a waiting job waits for.
+/// What a job waits for.
 #[derive(Clone, Eq, PartialEq, prost::Message, serde::Deserialize, serde::Serialize)]
 pub struct WaitReport {
     /// `nothing`, `accelerators`, `quota`, `backoff`, `preempted work` or
     /// `workers`.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// Until when, as far as is known; else 0.
+    /// Expected end of the wait; 0 if unknown.
     #[prost(uint64, tag = "2")]
     pub until_ms: u64,
-    /// Jobs ahead of it, accelerators still held by preempted work, or workers
-    /// that have not confirmed.
+    /// By reason: number of jobs ahead in the queue, of accelerators still held by
+    /// preempted work, or of workers that have not confirmed.
     #[prost(uint32, tag = "3")]
     pub count: u32,
 }
 
-/// A job as its account sees it.
+/// A job as reported to its account.
 #[derive(Clone, Eq, PartialEq, prost::Message, serde::Deserialize, serde::Serialize)]
 pub struct JobReport {
-    /// The job's public name: its data centre and identity.
+    /// The job's public name, made of its data centre and identity.
     #[prost(string, tag = "1")]
     pub job: String,
     /// Its account's name.
@@ -38,16 +38,16 @@
     /// Its class's name.
     #[prost(string, tag = "3")]
     pub class: String,
-    /// Where it stands, in one word.
+    /// Its state, as named by [`state_name`].
     #[prost(string, tag = "4")]
     pub state: String,
-    /// How it ended, in one word.
+    /// Its outcome, as named by the ledger.
     #[prost(string, tag = "5")]
     pub outcome: String,
     /// When it was accepted.
     #[prost(uint64, tag = "6")]
     pub accepted_ms: u64,
-    /// When its class says that it has to be answered.
+    /// When it has to be answered to meet its class.
     #[prost(uint64, tag = "7")]
     pub deadline_ms: u64,
     /// When it first ran; 0 if it has not.
@@ -65,19 +65,18 @@
     /// Why it waits.
     #[prost(message, required, tag = "12")]
     pub wait: WaitReport,
-    /// Workers of its place, or where it would go if it waits for workers that
-    /// are kept for it.
+    /// Workers of its members, or the workers reserved for it while it waits.
     #[prost(string, repeated, tag = "13")]
     pub workers: Vec<String>,
 }
 
-/// An account with its guarantee and what became of it.
+/// An account with its use, its quota and the state of its guarantees.
 #[derive(Clone, Eq, PartialEq, prost::Message, serde::Deserialize, serde::Serialize)]
 pub struct AccountReport {
     /// The account's name.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// Accelerators that it is guaranteed.
+    /// Accelerators of its guaranteed shapes.
     #[prost(uint32, tag = "2")]
     pub guaranteed: u32,
     /// Accelerators that its jobs hold.
@@ -86,45 +85,46 @@
     /// Guaranteed accelerators that other accounts use now.
     #[prost(uint32, tag = "4")]
     pub lent: u32,
-    /// Guaranteed accelerators that it can have at once or after preemptions.
+    /// Guaranteed accelerators that it can get at once or after preemptions.
     #[prost(uint32, tag = "5")]
     pub reclaimable: u32,
-    /// Longest time until all of these are back.
+    /// Time until all of these are available: the longest checkpoint grace of the
+    /// work to preempt.
     #[prost(uint64, tag = "6")]
     pub reclaim_ms: u64,
-    /// Guaranteed shapes without a place.
+    /// Guaranteed shapes that cannot be provided now.
     #[prost(uint32, tag = "7")]
     pub missing_shapes: u32,
-    /// Its waiting jobs.
+    /// Number of its waiting jobs.
     #[prost(uint32, tag = "8")]
     pub waiting_jobs: u32,
-    /// Its quota.
+    /// Its quota of accelerators.
     #[prost(uint32, tag = "9")]
     pub quota: u32,
 }
 
-/// A worker as operators see it.
+/// A worker as reported to operators.
 #[derive(Clone, Eq, PartialEq, prost::Message, serde::Deserialize, serde::Serialize)]
 pub struct WorkerReport {
     /// The worker's name.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Whether it takes work.
+    /// Its health: `healthy`, `quarantined`, `leaving` or `lost`.
     #[prost(string, tag = "2")]
     pub health: String,
-    /// All its accelerators.
+    /// Number of its accelerators.
     #[prost(uint32, tag = "3")]
     pub accelerators: u32,
-    /// Free ones.
+    /// Number of its accelerators that no job holds.
     #[prost(uint32, tag = "4")]
     pub free: u32,
-    /// Pledged ones.
+    /// Number of its accelerators that are pledged to guaranteed shapes.
     #[prost(uint32, tag = "5")]
     pub pledged: u32,
 }
 
 impl Cell {
-    /// Explains one job.
+    /// Returns the report on one job.
     pub fn explain(&self, id: JobId) -> Option<JobReport> {
         let job = self.job(id)?;
         let placed = job.members.iter().map(|member| member.worker);
@@ -191,14 +191,14 @@
         }
     }
 
-    /// Reports every account that is declared.
+    /// Returns a report on every declared account.
     pub fn account_reports(&self) -> Vec<AccountReport> {
         let shortfalls = self.shortfalls();
         self.accounts
             .iter()
             .enumerate()
             .filter(|(_, account)| !account.withdrawn)
-            .map(|(at, account)| {
+            .map(|(index, account)| {
                 let name = &account.declaration.name;
                 let shortfall = shortfalls.iter().find(|s| s.account == *name);
                 let mut report = AccountReport {
@@ -212,13 +212,14 @@
                     waiting_jobs: account.waiting_jobs,
                     quota: account.declaration.quota_accelerators,
                 };
-                self.add_pledges(&mut report, super::AccountKey(at as u16));
+                self.add_guarantee_figures(&mut report, super::AccountKey(index as u16));
                 report
             })
             .collect()
     }
 
-    fn add_pledges(&self, report: &mut AccountReport, account: super::AccountKey) {
+    /// Adds the accelerators pledged to `account` to its report.
+    fn add_guarantee_figures(&self, report: &mut AccountReport, account: super::AccountKey) {
         for (_, pledge) in self.pledges().filter(|(_, p)| p.account == account) {
             report.guaranteed += pledge.shape.accelerators();
             for &(worker, mask) in &pledge.members {
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Reports every worker.
+    /// Returns a report on every worker.
     pub fn worker_reports(&self) -> Vec<WorkerReport> {
         self.fleet
             .workers()
@@ -260,19 +261,20 @@
     }
 }
 
-/// A job's public name: its data centre and identity.
+/// Returns a job's public name, made of its data centre and identity.
 pub fn public_name(data_centre: &str, id: JobId) -> String {
     format!("{data_centre}.{id}")
 }
 
-/// Reads a public name back.
+/// Splits a public name into data centre and identity. Returns `None` if it is
+/// malformed.
 pub fn read_public_name(name: &str) -> Option<(&str, JobId)> {
     let (data_centre, id) = name.rsplit_once('.')?;
     let id = u64::from_str_radix(id, 16).ok()?;
     Some((data_centre, JobId(id)))
 }
 
-/// A job's state in one word, as answers and metrics name it.
+/// Returns the name of a job's state in answers and metrics.
 pub fn state_name(state: JobState) -> &'static str {
     match state {
         JobState::Queued => "queued",
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -1,5 +1,8 @@
-//! The life of a gang: reserved on every member, started on every member,
-//! running only when all have confirmed, and ended as a whole.
+//! Runs the attempts of gangs: reserves on every worker, then starts every
+//! member, and stops or ends all members together.
+//!
+//! No member is started before all are reserved, and a job counts as running
+//! only once all its members have confirmed their start.
 
 use super::{
     AcceleratorMask,
@@ -15,7 +18,7 @@
     RetryReason,
     StopKind,
     WorkerKey,
-    cell::Due, //
+    cell::JobTimer, //
 };
 use crate::ledger::{
     AnswerRecord,
@@ -29,20 +32,21 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl Cell {
-    /// Begins the reservations once no claimed accelerator is missing.
-    pub(super) fn reserve_if_held(&mut self, key: JobKey) {
+    /// Asks the workers for reservations once the gang holds all accelerators of
+    /// its place.
+    pub(super) fn reserve_if_all_held(&mut self, key: JobKey) {
         let now_ms = self.now_ms;
         let start_timeout_ms = self.limits.start_timeout_ms;
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let whole = job.members.iter().all(|member| member.held == member.mask);
-        if job.state != JobState::Claiming || !whole {
+        let holds_all = job.members.iter().all(|member| member.held == member.mask);
+        if job.state != JobState::Claiming || !holds_all {
             return;
         }
         job.attempt += 1;
         job.state = JobState::Reserving;
-        job.since_ms = now_ms;
+        job.state_since_ms = now_ms;
         for member in &mut job.members {
             member.state = MemberState::Reserving;
         }
@@ -60,10 +64,10 @@
                 .collect(),
             starting_ms: now_ms,
         };
-        let due = Due::StartTimeout {
+        let timer = JobTimer::StartTimeout {
             attempt: job.attempt,
         };
-        self.due.insert((now_ms + start_timeout_ms, key, due));
+        self.timers.insert((now_ms + start_timeout_ms, key, timer));
         self.effects
             .push(Effect::Persist(ChangeKind::Starting(change).into()));
         self.effects
@@ -74,9 +78,9 @@
             }));
     }
 
-    /// Takes in news of a member; news of an attempt that is over is dropped
-    /// and, if its task still runs, the task is stopped.
-    pub(super) fn member_report(&mut self, report: MemberReport) {
+    /// Handles a report about a member. A report about an attempt that is not
+    /// current changes nothing; a reservation or task that it shows is stopped.
+    pub(super) fn handle_member_report(&mut self, report: MemberReport) {
         let Some(worker) = self.fleet.find(&report.worker) else {
             return;
         };
@@ -96,11 +100,11 @@
             }
             return;
         };
-        self.member_event(key, worker, report.event);
+        self.handle_member_event(key, worker, report.event);
         self.changed = true;
     }
 
-    fn member_event(&mut self, key: JobKey, worker: WorkerKey, event: MemberEvent) {
+    fn handle_member_event(&mut self, key: JobKey, worker: WorkerKey, event: MemberEvent) {
         match event {
             MemberEvent::Reserved => self.member_reserved(key, worker),
             MemberEvent::Started => self.member_started(key, worker),
@@ -174,13 +178,13 @@
             member.may_have_begun = true;
         }
         match job.state {
-            JobState::Starting => self.run_if_whole(key),
-            JobState::Recovering => self.settle_recovery(key),
+            JobState::Starting => self.run_if_all_confirmed(key),
+            JobState::Recovering => self.try_finish_recovery(key),
             _ => {}
         }
     }
 
-    pub(super) fn run_if_whole(&mut self, key: JobKey) {
+    pub(super) fn run_if_all_confirmed(&mut self, key: JobKey) {
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -191,12 +195,12 @@
         }
         if job.state != JobState::Running {
             job.state = JobState::Running;
-            job.since_ms = now_ms;
+            job.state_since_ms = now_ms;
             job.running_ms = now_ms;
             job.first_running_ms.get_or_insert(now_ms);
         }
         if job.all_members(MemberState::Finished) {
-            self.serve(key);
+            self.end_served(key);
         }
     }
 
@@ -204,35 +208,35 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let Some(at) = job
+        let Some(index) = job
             .members
             .iter()
             .position(|member| member.worker == worker && member.state != MemberState::Gone)
         else {
             return;
         };
-        if job.members[at].state == MemberState::Finished {
+        if job.members[index].state == MemberState::Finished {
             return;
         }
-        job.members[at].state = MemberState::Finished;
-        job.members[at].may_have_begun = true;
-        // The answer of a gang is that of its first member.
-        if at == 0 {
+        job.members[index].state = MemberState::Finished;
+        job.members[index].may_have_begun = true;
+        // The first member's answer is the answer of the gang.
+        if index == 0 {
             job.answer = Some(answer);
         }
         self.fleet
             .update(worker, |worker| worker.failed_jobs.clear());
-        self.free_member(key, at);
+        self.free_member(key, index);
         let state = self.jobs.get(key).map(|job| job.state);
         match state {
-            Some(JobState::Starting | JobState::Running) => self.run_if_whole(key),
-            Some(JobState::Recovering) => self.settle_recovery(key),
-            Some(JobState::Stopping(_)) => self.settle_stop(key),
+            Some(JobState::Starting | JobState::Running) => self.run_if_all_confirmed(key),
+            Some(JobState::Recovering) => self.try_finish_recovery(key),
+            Some(JobState::Stopping(_)) => self.try_finish_stop(key),
             _ => {}
         }
     }
 
-    fn serve(&mut self, key: JobKey) {
+    fn end_served(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get(key) {
             let ran_ms = self.now_ms.saturating_sub(job.running_ms) + job.progress_ms;
             let declared_ms = job.submission.declared_run_ms;
@@ -246,58 +250,62 @@
         if let Some(member) = self.jobs.get_mut(key).and_then(|job| job.member_on(worker)) {
             member.saved_ms = Some(progress_ms);
         }
-        self.member_gone_keeping_begun(key, worker);
+        self.mark_member_gone(key, worker);
         self.after_loss(key, RetryReason::TaskStopped);
     }
 
-    /// What the loss of a member means, by where its job stands.
+    /// Continues after the end of a member: a job that is stopping or recovering
+    /// may now be done with that, any other loses its attempt.
     pub(super) fn after_loss(&mut self, key: JobKey, reason: RetryReason) {
         match self.jobs.get(key).map(|job| job.state) {
-            Some(JobState::Stopping(_)) => self.settle_stop(key),
-            Some(JobState::Recovering) => self.settle_recovery(key),
+            Some(JobState::Stopping(_)) => self.try_finish_stop(key),
+            Some(JobState::Recovering) => self.try_finish_recovery(key),
             Some(JobState::Ended) | None => {}
             Some(_) => self.fail_gang(key, reason),
         }
     }
 
-    /// Marks the member on `worker` gone and frees its accelerators.
+    /// Records whether the member on `worker` may have begun, marks it gone and
+    /// frees its accelerators.
     pub(super) fn member_gone(&mut self, key: JobKey, worker: WorkerKey, may_have_begun: bool) {
         if let Some(member) = self.jobs.get_mut(key).and_then(|job| job.member_on(worker)) {
             member.may_have_begun = may_have_begun;
         }
-        self.member_gone_keeping_begun(key, worker);
+        self.mark_member_gone(key, worker);
     }
 
-    fn member_gone_keeping_begun(&mut self, key: JobKey, worker: WorkerKey) {
+    /// Marks the member on `worker` gone and frees its accelerators.
+    fn mark_member_gone(&mut self, key: JobKey, worker: WorkerKey) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let at = job
+        let index = job
             .members
             .iter()
             .position(|member| member.worker == worker && member.state != MemberState::Gone);
-        if let Some(at) = at {
-            job.members[at].state = MemberState::Gone;
-            self.free_member(key, at);
+        if let Some(index) = index {
+            job.members[index].state = MemberState::Gone;
+            self.free_member(key, index);
         }
     }
 
-    /// Frees what a member holds; claimed accelerators pass to their claimant.
-    pub(super) fn free_member(&mut self, key: JobKey, at: usize) {
+    /// Frees the accelerators that a member holds. Those claimed by another gang
+    /// pass to that gang.
+    pub(super) fn free_member(&mut self, key: JobKey, index: usize) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let held = std::mem::take(&mut job.members[at].held);
-        let worker = job.members[at].worker;
-        let (passed, free) = self.fleet.update(worker, |worker| {
+        let held = std::mem::take(&mut job.members[index].held);
+        let worker = job.members[index].worker;
+        let (claimed, free) = self.fleet.update(worker, |worker| {
             worker.unclaim(key);
-            let passed = worker.release(held);
-            (passed, worker.free.count_ones() as u16)
+            let claimed = worker.release(held);
+            (claimed, worker.free.count_ones() as u16)
         });
-        self.discharge(key, held.count_ones());
+        self.subtract_usage(key, held.count_ones());
         self.queue.unblock(free);
         self.changed = true;
-        for (claimant, mask) in passed {
+        for (claimant, mask) in claimed {
             self.receive_claimed(claimant, worker, mask);
         }
     }
@@ -312,24 +320,24 @@
         }
         self.fleet
             .update(worker, |worker| worker.set_yielding(key, yields));
-        self.charge(key, mask.count_ones());
-        self.reserve_if_held(key);
+        self.add_usage(key, mask.count_ones());
+        self.reserve_if_all_held(key);
     }
 
-    /// Ends an attempt that cannot become or stay whole.
+    /// Stops an attempt whose gang cannot become or stay complete.
     pub(super) fn fail_gang(&mut self, key: JobKey, reason: RetryReason) {
         self.stop_gang(key, StopKind::Failure(reason));
     }
 
-    /// Stops every member; the job goes on when all are gone.
+    /// Stops every member. Once all have ended, the job is queued again or ends.
     pub(super) fn stop_gang(&mut self, key: JobKey, kind: StopKind) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         match job.state {
             JobState::Ended | JobState::Queued | JobState::Backoff { .. } => return,
-            // Cancelling what is stopping for another reason changes how it
-            // ends; any other second reason changes nothing.
+            // A cancellation replaces an earlier reason for stopping; no other
+            // reason does.
             JobState::Stopping(_) if kind != StopKind::Cancel => return,
             JobState::Stopping(_) => {
                 job.state = JobState::Stopping(kind);
@@ -339,26 +347,26 @@
         }
         let claiming = job.state == JobState::Claiming;
         job.state = JobState::Stopping(kind);
-        job.since_ms = self.now_ms;
+        job.state_since_ms = self.now_ms;
         if claiming {
             self.unclaim_all(key);
         } else {
-            self.tell_members_to_stop(key, kind);
+            self.stop_members(key, kind);
         }
-        self.settle_stop(key);
+        self.try_finish_stop(key);
     }
 
     fn unclaim_all(&mut self, key: JobKey) {
         let count = self.jobs.get(key).map_or(0, |job| job.members.len());
-        for at in 0..count {
+        for index in 0..count {
             if let Some(job) = self.jobs.get_mut(key) {
-                job.members[at].state = MemberState::Gone;
+                job.members[index].state = MemberState::Gone;
             }
-            self.free_member(key, at);
+            self.free_member(key, index);
         }
     }
 
-    fn tell_members_to_stop(&mut self, key: JobKey, kind: StopKind) {
+    fn stop_members(&mut self, key: JobKey, kind: StopKind) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
@@ -382,27 +390,27 @@
         }
     }
 
-    fn settle_stop(&mut self, key: JobKey) {
+    fn try_finish_stop(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let over = |state| matches!(state, MemberState::Gone | MemberState::Finished);
-        if !job.members.iter().all(|member| over(member.state)) {
+        let ended = |state| matches!(state, MemberState::Gone | MemberState::Finished);
+        if !job.members.iter().all(|member| ended(member.state)) {
             return;
         }
         let JobState::Stopping(kind) = job.state else {
             return;
         };
-        // All members finished before the stop reached them: the job is whole.
-        let whole = !job.members.is_empty() && job.all_members(MemberState::Finished);
+        // All members finished before the stop reached them: the job is complete.
+        let all_finished = !job.members.is_empty() && job.all_members(MemberState::Finished);
         let cancelling = job.cancelling;
         match kind {
-            _ if whole => self.serve(key),
+            _ if all_finished => self.end_served(key),
             _ if cancelling => self.end_cancelled(key),
             StopKind::Cancel => self.end_cancelled(key),
             StopKind::Preempt => self.requeue_preempted(key),
             StopKind::Move => self.requeue_moved(key),
-            StopKind::Failure(reason) => self.conclude_failure(key, reason),
+            StopKind::Failure(reason) => self.retry_or_fail(key, reason),
         }
     }
 
@@ -434,13 +442,13 @@
         self.enqueue(key);
     }
 
-    fn conclude_failure(&mut self, key: JobKey, reason: RetryReason) {
+    fn retry_or_fail(&mut self, key: JobKey, reason: RetryReason) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        // Guards "at most once": the caller would see a non-idempotent job's
-        // effects twice if an attempt that may have begun were started again.
-        // The member flags say whether a start was ever sent and not refused.
+        // A job that is not idempotent runs at most once: starting it again after
+        // an attempt that may have begun could repeat its effects. The flags of
+        // the members say whether a start was sent and not refused.
         if job.may_have_begun() && !job.submission.idempotent {
             let code = match reason {
                 RetryReason::TaskFailed => OutcomeCode::Failed,
@@ -448,10 +456,11 @@
             };
             return self.end(key, code);
         }
-        let own_fault = matches!(reason, RetryReason::TaskFailed | RetryReason::StartRefused);
-        job.failures += u32::from(own_fault);
-        let (failures, failed_on) = (job.failures, job.failed_workers.len());
-        if own_fault && failed_on >= self.limits.max_failed_workers {
+        let counts_as_failure =
+            matches!(reason, RetryReason::TaskFailed | RetryReason::StartRefused);
+        job.failures += u32::from(counts_as_failure);
+        let (failures, failed_worker_count) = (job.failures, job.failed_workers.len());
+        if counts_as_failure && failed_worker_count >= self.limits.max_failed_workers {
             self.exonerate_workers(key);
             return self.end(key, OutcomeCode::UnableToRun);
         }
@@ -475,7 +484,7 @@
             return;
         };
         job.progress_ms = job.saved_ms();
-        job.ran_before = job.may_ever_have_begun();
+        job.earlier_may_have_begun = job.may_ever_have_begun();
         job.members.clear();
         job.pledge = None;
         job.yields = false;
@@ -491,23 +500,23 @@
         self.effects.push(Effect::Retried { job, reason });
     }
 
-    /// Waits before the next attempt: exponentially longer, with jitter, and
-    /// at least until the account's retry budget allows it.
+    /// Delays the next attempt by an exponential backoff with jitter, at least
+    /// until the account's retry budget allows a retry.
     fn back_off(&mut self, key: JobKey) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let doubled = limits.backoff_ms << job.failures.min(16);
-        let longest_ms = doubled.min(limits.max_backoff_ms);
+        let exponential_ms = limits.backoff_ms << job.failures.min(16);
+        let longest_ms = exponential_ms.min(limits.max_backoff_ms);
         let seed =
             xxh3_64(&[job.id.0.to_le_bytes(), u64::from(job.attempt).to_le_bytes()].concat());
         let jittered_ms = longest_ms / 2 + seed % (longest_ms / 2).max(1);
         let budget = self.accounts[job.account.index()].take_retry(now_ms);
         let until_ms = now_ms + jittered_ms.max(budget.err().unwrap_or(0));
         job.state = JobState::Backoff { until_ms };
-        job.since_ms = now_ms;
-        self.due.insert((until_ms, key, Due::Retry));
+        job.state_since_ms = now_ms;
+        self.timers.insert((until_ms, key, JobTimer::Retry));
     }
 
     pub(super) fn retry_due(&mut self, key: JobKey) {
@@ -518,15 +527,15 @@
     }
 
     pub(super) fn start_timeout(&mut self, key: JobKey, attempt: u32) {
-        let stuck = |job: &Job| {
+        let unconfirmed = |job: &Job| {
             job.attempt == attempt && matches!(job.state, JobState::Reserving | JobState::Starting)
         };
-        if self.jobs.get(key).is_some_and(stuck) {
+        if self.jobs.get(key).is_some_and(unconfirmed) {
             self.fail_gang(key, RetryReason::StartTimeout);
         }
     }
 
-    /// Ends a job for good.
+    /// Ends a job with `code` and schedules its deletion.
     pub(super) fn end(&mut self, key: JobKey, code: OutcomeCode) {
         let now_ms = self.now_ms;
         let retention_ms = self.limits.retention_ms;
@@ -534,7 +543,7 @@
             return;
         };
         job.state = JobState::Ended;
-        job.since_ms = now_ms;
+        job.state_since_ms = now_ms;
         job.outcome = code;
         job.ended_ms = now_ms;
         job.members.clear();
@@ -553,7 +562,8 @@
             answer: job.answer.clone(),
         };
         let job = job.id;
-        self.due.insert((now_ms + retention_ms, key, Due::Forget));
+        self.timers
+            .insert((now_ms + retention_ms, key, JobTimer::DeleteJob));
         self.persist(ChangeKind::Ended(change));
         self.effects.push(Effect::Ended { job, outcome });
     }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,4 +1,4 @@
-//! One job: what was asked, where it stands, and its gang.
+//! A job: its submission, its state and the members of its latest attempt.
 
 use super::{
     AccountKey,
@@ -18,7 +18,7 @@
     Submission, //
 };
 
-/// One attempt of one job, the name under which workers know its tasks.
+/// Identity of one attempt of a job, under which workers know its tasks.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct AttemptId {
     /// The job.
@@ -27,26 +27,26 @@
     pub attempt: u32,
 }
 
-/// Where a member of a gang stands.
+/// State of a member of a gang.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
     /// Some of its accelerators are still held by a job that is stopping.
     Claiming,
     /// The worker was asked to reserve.
     Reserving,
-    /// The worker has reserved.
+    /// The worker has confirmed the reservation.
     Reserved,
     /// The worker was told to start.
     Starting,
     /// The task runs.
     Running,
-    /// The task finished; its result is kept until the gang is whole.
+    /// The task finished; the job ends once all members have finished.
     Finished,
     /// The worker was told to stop the task.
     Stopping,
-    /// A new owner has asked the worker what it knows.
+    /// A new owner has asked the worker for the state of the attempt.
     Inspecting,
-    /// Nothing of the member is left.
+    /// The member ended without a result and holds no accelerators.
     Gone,
 }
 
@@ -55,41 +55,41 @@
 pub struct Member {
     /// Its worker.
     pub worker: WorkerKey,
-    /// Its accelerators.
+    /// Its accelerators on that worker.
     pub mask: AcceleratorMask,
-    /// Those of them that it holds already.
+    /// The accelerators of `mask` that it holds now.
     pub held: AcceleratorMask,
-    /// Where it stands.
+    /// Its state.
     pub state: MemberState,
     /// Whether a start may have reached the worker.
     pub may_have_begun: bool,
-    /// Work that the checkpoint of its stopped task saved.
+    /// Run time covered by the checkpoint of its stopped task.
     pub saved_ms: Option<u64>,
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobState {
     /// Waits for accelerators.
     Queued,
     /// Waits for its next attempt after a failure.
     Backoff {
-        /// When the next attempt may come.
+        /// When the job is queued again.
         until_ms: u64,
     },
-    /// Has a place and waits for preempted work to leave it.
+    /// Has a place and waits until preempted work has left it.
     Claiming,
     /// Members are being reserved.
     Reserving,
-    /// All members are reserved and told to start.
+    /// All members are reserved and were told to start.
     Starting,
-    /// All members have confirmed.
+    /// All members have confirmed their start.
     Running,
     /// All members are being stopped.
     Stopping(StopKind),
-    /// A new owner finds out what became of the attempt.
+    /// A new owner is asking the workers for the state of the attempt.
     Recovering,
-    /// Over.
+    /// The job has ended.
     Ended,
 }
 
@@ -108,23 +108,24 @@
     pub shape: Shape,
     /// When it was accepted.
     pub accepted_ms: u64,
-    /// When its class says that it has to be answered.
+    /// When it has to be answered to meet its class.
     pub deadline_ms: u64,
-    /// Its place in the queue: the latest start that makes the deadline.
+    /// Its order in the queue: the latest start that meets the deadline, or a
+    /// later target once that has passed.
     pub latest_start_ms: u64,
-    /// Where it stands.
+    /// Its state.
     pub state: JobState,
-    /// Since when it stands there.
-    pub since_ms: u64,
+    /// When it entered its state.
+    pub state_since_ms: u64,
     /// Number of the latest attempt.
     pub attempt: u32,
     /// Members of the latest attempt.
     pub members: Vec<Member>,
-    /// The pledge of its own account in which it runs.
+    /// The pledge of its own account in whose accelerators it runs.
     pub pledge: Option<PledgeKey>,
-    /// Whether the running attempt can be taken back.
+    /// Whether the latest attempt may be preempted.
     pub yields: bool,
-    /// Work that checkpoints have saved.
+    /// Run time covered by checkpoints.
     pub progress_ms: u64,
     /// When the latest attempt started to run.
     pub running_ms: u64,
@@ -132,23 +133,24 @@
     pub first_running_ms: Option<u64>,
     /// How often it was preempted.
     pub preemptions: u32,
-    /// How often it was moved out of the way of a large gang; not durable.
+    /// How often it was moved to make space for a large gang; not stored.
     pub moves: u32,
-    /// How often it failed.
+    /// Number of attempts that ended because a task failed or a worker refused to
+    /// start it. Failures on a worker that is quarantined for them do not count.
     pub failures: u32,
-    /// Different workers on which it failed.
+    /// Different workers on which it failed, except those quarantined since.
     pub failed_workers: Vec<WorkerKey>,
     /// Whether an earlier attempt may have begun.
-    pub ran_before: bool,
-    /// When a region may be looked for again to keep for it.
+    pub earlier_may_have_begun: bool,
+    /// Earliest time of the next search for workers to reserve for it.
     pub keep_after_ms: u64,
     /// Whether its account has cancelled it.
     pub cancelling: bool,
     /// The group in which it waits in the queue.
-    pub queued_as: Option<GroupKey>,
+    pub queue_group: Option<GroupKey>,
     /// Estimated accelerator-milliseconds with which it waits in the queue.
     pub waiting_work: u64,
-    /// The answer of the first member.
+    /// The answer of its first member.
     pub answer: Option<AnswerRecord>,
     /// How it ended.
     pub outcome: OutcomeCode,
@@ -157,7 +159,7 @@
 }
 
 impl Job {
-    /// The attempt that is or was last alive.
+    /// Returns the identity of the latest attempt.
     pub fn attempt_id(&self) -> AttemptId {
         AttemptId {
             job: self.id,
@@ -165,42 +167,43 @@
         }
     }
 
-    /// Whether the job waits in the queue or for its next attempt.
+    /// Returns whether the job waits in the queue or in a backoff.
     pub fn waits(&self) -> bool {
         matches!(self.state, JobState::Queued | JobState::Backoff { .. })
     }
 
-    /// Whether all members are in `state`.
+    /// Returns whether all members are in `state`.
     pub fn all_members(&self, state: MemberState) -> bool {
         self.members.iter().all(|member| member.state == state)
     }
 
-    /// The member on `worker`, if it is not gone.
+    /// Returns the member on `worker`, unless it is gone.
     pub fn member_on(&mut self, worker: WorkerKey) -> Option<&mut Member> {
         self.members
             .iter_mut()
             .find(|member| member.worker == worker && member.state != MemberState::Gone)
     }
 
-    /// Whether any task of the latest attempt may have begun.
+    /// Returns whether any task of the latest attempt may have begun.
     pub fn may_have_begun(&self) -> bool {
         self.members.iter().any(|member| member.may_have_begun)
     }
 
-    /// Whether any task of any attempt may have begun: then "not run" is no
-    /// longer true of the job.
+    /// Returns whether any task of any attempt may have begun. The job can then
+    /// no longer be reported as not run.
     pub fn may_ever_have_begun(&self) -> bool {
-        self.ran_before || self.may_have_begun()
+        self.earlier_may_have_begun || self.may_have_begun()
     }
 
-    /// Work that checkpoints have saved once the attempt is over: what every
-    /// member has saved, or no more than before if one of them saved nothing.
+    /// Returns the progress of the job after its latest attempt: the run time
+    /// covered by the checkpoints of all its members, at least that of earlier
+    /// attempts.
     pub fn saved_ms(&self) -> u64 {
         let saved = self.members.iter().map(|m| m.saved_ms.unwrap_or(0)).min();
         self.progress_ms.max(saved.unwrap_or(0))
     }
 
-    /// The job as the ledger keeps it.
+    /// Returns the job as stored in the ledger.
     pub fn record(&self) -> JobRecord {
         JobRecord {
             id: self.id.0,
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -1,16 +1,16 @@
-//! Small `Copy` keys into the arenas of a cell, and the identity of a job.
+//! Keys of the objects of a cell, and the identity of a job.
 
 use std::fmt;
 
 /// Identity of a job within its cell: the epoch of the owner that accepted it
-/// and a sequence number, so that two owners never mint the same one.
+/// and a sequence number, so that no two owners create the same identity.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct JobId(pub u64);
 
 impl JobId {
     const SEQUENCE_BITS: u32 = 32;
 
-    /// Builds an identity from the owner's `epoch` and its `sequence`.
+    /// Creates an identity from the owner's `epoch` and a sequence number.
     pub fn new(epoch: u64, sequence: u32) -> Self {
         Self(epoch << Self::SEQUENCE_BITS | u64::from(sequence))
     }
@@ -22,7 +22,7 @@
     }
 }
 
-/// Key of a job in the cell's job arena; goes stale when the job is forgotten.
+/// Key of a job in the cell's arena. Becomes stale when the job is deleted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct JobKey {
     pub(super) index: u32,
@@ -45,40 +45,40 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ClassKey(pub u8);
 
-/// Index of a pledge, one instance of a guaranteed shape.
+/// Index of a pledge, which is one instance of a guaranteed shape.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PledgeKey(pub u16);
 
 impl WorkerKey {
-    /// The key as an index into a slice.
+    /// Returns the key as an index into a slice.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
 impl RackKey {
-    /// The key as an index into a slice.
+    /// Returns the key as an index into a slice.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
 impl AccountKey {
-    /// The key as an index into a slice.
+    /// Returns the key as an index into a slice.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
 impl ClassKey {
-    /// The key as an index into a slice.
+    /// Returns the key as an index into a slice.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
 impl PledgeKey {
-    /// The key as an index into a slice.
+    /// Returns the key as an index into a slice.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,10 @@
-//! The decision core: pure, single-threaded, without I/O and without a clock.
+//! Decides where and when jobs run: a pure, single-threaded state machine that
+//! performs no I/O and reads no clock.
 //!
 //! A [`Cell`] is the state of one data centre. [`Cell::apply`] takes a
 //! [`Command`] and the current time and returns the [`Effect`]s that the owner
 //! has to carry out. The daemon, the differential tests and the fault matrix
-//! all run this same code.
+//! all run this code.
 
 mod account;
 mod admission;
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,8 +1,9 @@
-//! Waiting jobs, in groups that a placement treats alike.
+//! Queues waiting jobs in groups that placement treats alike.
 //!
-//! Jobs of one account, class and shape fit or fail together, so a group whose
-//! first job failed is blocked until enough accelerators of a worker come
-//! free. A pass thus costs what changed, not what waits.
+//! Jobs with the same [`GroupKey`] fit or fail together. A group whose first
+//! job could not be placed is blocked until a worker has enough free
+//! accelerators, or until the next tick. The cost of a pass thus depends on what
+//! changed and not on the number of waiting jobs.
 
 use super::{
     AccountKey,
@@ -16,20 +17,20 @@
     HashMap, //
 };
 
-/// What jobs of a group have in common.
+/// The properties that the jobs of a group share.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct GroupKey {
-    /// Account.
+    /// Their account.
     pub account: AccountKey,
-    /// Class.
+    /// Their class.
     pub class: ClassKey,
-    /// Shape.
+    /// Their shape.
     pub shape: Shape,
-    /// Whether the job can be taken back and so may use lent capacity.
+    /// Whether they may be preempted, and so may use lent accelerators.
     pub yields: bool,
 }
 
-/// Place in the order of a pass: latest start, group index.
+/// Position in the order of a pass: latest start of the first job, group index.
 pub type Cursor = (u64, u32);
 
 #[derive(Debug)]
@@ -44,61 +45,65 @@
 pub struct Queue {
     groups: Vec<Group>,
     index: HashMap<GroupKey, u32>,
+    /// Indexes of `groups` that are not in use.
     vacant: Vec<u32>,
     ready: BTreeSet<Cursor>,
+    /// Indexes of the blocked groups, by the accelerators they need on a worker.
     blocked: Vec<Vec<u32>>,
     len: usize,
 }
 
-fn size_of(key: &GroupKey) -> usize {
+/// Returns the accelerators that a group needs on each worker. Shapes too large
+/// for any worker share one value.
+fn needed_per_worker(key: &GroupKey) -> usize {
     usize::from(key.shape.accelerators_per_worker).min(MAX_ACCELERATORS_PER_WORKER + 1)
 }
 
 impl Queue {
     /// Adds a waiting job.
     pub fn insert(&mut self, key: GroupKey, latest_start_ms: u64, job: JobKey) {
-        let at = self.group_for(key);
-        let group = &mut self.groups[at as usize];
+        let slot = self.group_for(key);
+        let group = &mut self.groups[slot as usize];
         let before = group.jobs.first().map(|&(latest, _)| latest);
         group.jobs.insert((latest_start_ms, job));
         self.len += 1;
         if !group.blocked && before.is_none_or(|latest| latest_start_ms < latest) {
             if let Some(latest) = before {
-                self.ready.remove(&(latest, at));
+                self.ready.remove(&(latest, slot));
             }
-            self.ready.insert((latest_start_ms, at));
+            self.ready.insert((latest_start_ms, slot));
         }
     }
 
     fn group_for(&mut self, key: GroupKey) -> u32 {
-        if let Some(&at) = self.index.get(&key) {
-            return at;
+        if let Some(&slot) = self.index.get(&key) {
+            return slot;
         }
         let group = Group {
             key,
             jobs: BTreeSet::new(),
             blocked: false,
         };
-        let at = match self.vacant.pop() {
-            Some(at) => {
-                self.groups[at as usize] = group;
-                at
+        let slot = match self.vacant.pop() {
+            Some(slot) => {
+                self.groups[slot as usize] = group;
+                slot
             }
             None => {
                 self.groups.push(group);
                 self.groups.len() as u32 - 1
             }
         };
-        self.index.insert(key, at);
-        at
+        self.index.insert(key, slot);
+        slot
     }
 
-    /// Takes a job out; says whether it was there.
+    /// Removes a job and returns whether it was there.
     pub fn remove(&mut self, key: GroupKey, latest_start_ms: u64, job: JobKey) -> bool {
-        let Some(&at) = self.index.get(&key) else {
+        let Some(&slot) = self.index.get(&key) else {
             return false;
         };
-        let group = &mut self.groups[at as usize];
+        let group = &mut self.groups[slot as usize];
         let first = group.jobs.first().copied();
         if !group.jobs.remove(&(latest_start_ms, job)) {
             return false;
@@ -106,28 +111,28 @@
         self.len -= 1;
         let next = group.jobs.first().map(|&(latest, _)| latest);
         if first == Some((latest_start_ms, job)) && !group.blocked {
-            self.ready.remove(&(latest_start_ms, at));
+            self.ready.remove(&(latest_start_ms, slot));
             if let Some(latest) = next {
-                self.ready.insert((latest, at));
+                self.ready.insert((latest, slot));
             }
         }
         if next.is_none() {
-            self.drop_group(key, at);
+            self.remove_group(key, slot);
         }
         true
     }
 
-    fn drop_group(&mut self, key: GroupKey, at: u32) {
-        if self.groups[at as usize].blocked {
+    fn remove_group(&mut self, key: GroupKey, slot: u32) {
+        if self.groups[slot as usize].blocked {
             for list in &mut self.blocked {
-                list.retain(|&blocked| blocked != at);
+                list.retain(|&blocked| blocked != slot);
             }
         }
         self.index.remove(&key);
-        self.vacant.push(at);
+        self.vacant.push(slot);
     }
 
-    /// The first ready job after `cursor`.
+    /// Returns the first job of the next ready group after `cursor`.
     pub fn next_ready(&self, cursor: Option<Cursor>) -> Option<(Cursor, JobKey)> {
         let next = match cursor {
             None => self.ready.first(),
@@ -142,54 +147,54 @@
         Some((*next, job))
     }
 
-    /// Blocks the group at `cursor` until accelerators come free.
+    /// Blocks the group at `cursor` until accelerators become free.
     pub fn block(&mut self, cursor: Cursor) {
         self.ready.remove(&cursor);
         let group = &mut self.groups[cursor.1 as usize];
         group.blocked = true;
-        let size = size_of(&group.key);
+        let size = needed_per_worker(&group.key);
         if self.blocked.len() <= size {
             self.blocked.resize_with(size + 1, Vec::new);
         }
         self.blocked[size].push(cursor.1);
     }
 
-    /// Makes groups ready again that need at most `accelerators` of a worker.
+    /// Unblocks the groups that need at most `accelerators` on a worker.
     pub fn unblock(&mut self, accelerators: u16) {
         let limit = usize::from(accelerators).min(self.blocked.len().saturating_sub(1));
         for size in 0..=limit {
             let Some(list) = self.blocked.get_mut(size) else {
                 return;
             };
-            for at in std::mem::take(list) {
-                let group = &mut self.groups[at as usize];
+            for slot in std::mem::take(list) {
+                let group = &mut self.groups[slot as usize];
                 group.blocked = false;
                 if let Some(&(latest, _)) = group.jobs.first() {
-                    self.ready.insert((latest, at));
+                    self.ready.insert((latest, slot));
                 }
             }
         }
     }
 
-    /// Makes every group ready again.
+    /// Unblocks every group.
     pub fn unblock_all(&mut self) {
         self.unblock(u16::MAX);
     }
 
-    /// Whether a group of jobs waits.
+    /// Returns whether a job of the group waits.
     pub fn has_group(&self, key: &GroupKey) -> bool {
         self.index.contains_key(key)
     }
 
-    /// Number of waiting jobs.
+    /// Returns the number of waiting jobs.
     pub fn waiting(&self) -> usize {
         self.len
     }
 
-    /// Shapes in demand with the number of jobs that wait for each.
+    /// Returns the shape of each group with the number of its waiting jobs.
     pub fn demand(&self) -> impl Iterator<Item = (Shape, usize)> + '_ {
         self.index
             .iter()
-            .map(|(key, &at)| (key.shape, self.groups[at as usize].jobs.len()))
+            .map(|(key, &slot)| (key.shape, self.groups[slot as usize].jobs.len()))
     }
 }
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -1,4 +1,4 @@
-//! Rebuilding a cell from its ledger and its workers.
+//! Rebuilds a cell from the ledger and the reports of its workers.
 
 use super::{
     Account,
@@ -13,7 +13,7 @@
     RetryReason,
     Submission,
     cell::Class,
-    cell::Due, //
+    cell::JobTimer, //
 };
 use crate::config::{
     AccountDeclaration,
@@ -25,16 +25,16 @@
     OutcomeCode, //
 };
 
-/// One job as the ledger has it.
+/// A job read from the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveredJob {
-    /// The record.
+    /// Its record.
     pub record: JobRecord,
 }
 
 impl Cell {
-    /// Takes over the jobs of the previous owner. Attempts that may be alive
-    /// keep their accelerators until their workers have said what they know.
+    /// Takes over the jobs of the previous owner. Attempts that may still run keep
+    /// their accelerators until their workers have reported their state.
     pub(super) fn recover(&mut self, jobs: Vec<RecoveredJob>) {
         for RecoveredJob { record } in jobs {
             self.recover_job(record);
@@ -53,17 +53,18 @@
         job.progress_ms = record.progress_ms;
         job.preemptions = record.preemptions;
         job.cancelling = record.cancelling;
-        // The ledger does not say how far earlier attempts came.
-        job.ran_before = record.attempt > 0 && record.members.is_empty() || record.attempt > 1;
+        // The ledger does not record whether earlier attempts began.
+        job.earlier_may_have_begun =
+            record.attempt > 0 && record.members.is_empty() || record.attempt > 1;
         job.failures = record.failures;
         job.outcome = record.outcome();
         job.ended_ms = record.ended_ms;
         job.answer = record.answer.clone();
         if job.outcome != OutcomeCode::None {
             job.state = JobState::Ended;
-            let forget_ms = job.ended_ms + self.limits.retention_ms;
+            let delete_ms = job.ended_ms + self.limits.retention_ms;
             let key = self.insert_job(job);
-            self.due.insert((forget_ms, key, Due::Forget));
+            self.timers.insert((delete_ms, key, JobTimer::DeleteJob));
         } else if record.members.is_empty() {
             let cancelling = job.cancelling;
             let key = self.insert_job(job);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// An accepted job is accounted for also when its account or class was
-    /// withdrawn since: a withdrawn stand-in is declared for it.
+    /// Declares the job's account and class as withdrawn if the configuration no
+    /// longer contains them, so that no accepted job is lost.
     fn ensure_declared(&mut self, submission: &Submission) {
         if self.account_named(&submission.account).is_none() {
             let key = AccountKey(self.accounts.len() as u16);
@@ -102,8 +103,8 @@
     fn inspect_members(&mut self, key: JobKey, records: &[MemberRecord]) {
         let mut members = Vec::with_capacity(records.len());
         for record in records {
-            // A worker that the list no longer names is added as it was, so
-            // that its loss is concluded like any other.
+            // A worker that is no longer listed is added as a leaving one, so
+            // that its loss is handled like that of any other worker.
             let worker = match self.fleet.find(&record.worker) {
                 Some(worker) => worker,
                 None => {
@@ -141,11 +142,11 @@
                 attempt,
                 worker: member.worker,
             }));
-        self.charge(key, taken);
+        self.add_usage(key, taken);
     }
 
-    /// Asks a worker again for the tasks that are believed to run there; one
-    /// that it does not know is gone.
+    /// Asks a worker for the state of the attempts that should be running there.
+    /// A task that the worker does not know counts as lost.
     pub(super) fn reinspect(&mut self, name: &str) {
         let Some(worker) = self.fleet.find(name) else {
             return;
@@ -165,8 +166,9 @@
         }
     }
 
-    /// Decides once every member's worker has answered or is lost.
-    pub(super) fn settle_recovery(&mut self, key: JobKey) {
+    /// Resumes or fails the attempt once every member's worker has answered or is
+    /// lost.
+    pub(super) fn try_finish_recovery(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
@@ -188,19 +190,19 @@
         }
     }
 
-    /// Goes on with a gang that was found whole.
+    /// Resumes an attempt of which no member is gone.
     fn adopt(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         let yields = self.may_yield(job);
-        let own_pledge = self.pledges().find_map(|(at, pledge)| {
-            let inside = pledge.account == job.account
+        let own_pledge = self.pledges().find_map(|(pledge_key, pledge)| {
+            let is_inside = pledge.account == job.account
                 && job.members.iter().all(|member| {
                     let on_worker = pledge.members.iter().find(|(w, _)| *w == member.worker);
                     on_worker.is_some_and(|&(_, mask)| member.mask & !mask == 0)
                 });
-            inside.then_some(at)
+            is_inside.then_some(pledge_key)
         });
         let started_ms = job.running_ms;
         let workers: Vec<_> = job.members.iter().map(|member| member.worker).collect();
@@ -213,7 +215,7 @@
             return;
         };
         job.state = JobState::Running;
-        job.since_ms = now_ms;
+        job.state_since_ms = now_ms;
         job.first_running_ms = Some(started_ms);
         job.yields = yields;
         if own_pledge.is_some() && job.pledge.is_none() {
@@ -222,7 +224,7 @@
             job.pledge = own_pledge;
         }
         let cancelling = job.cancelling;
-        self.run_if_whole(key);
+        self.run_if_all_confirmed(key);
         if cancelling {
             self.cancel_job(key);
         }
--- a/src/core/schedule.rs
+++ b/src/core/schedule.rs
@@ -1,4 +1,4 @@
-//! One pass over the waiting jobs.
+//! Places waiting jobs in one bounded pass, in the order of their latest starts.
 
 use super::{
     Cell,
@@ -11,21 +11,21 @@
     queue::Cursor, //
 };
 
-/// Who is tried in a sweep of a pass.
+/// Which jobs a sweep tries. A pass makes one sweep of each kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Sweep {
-    /// Urgent work, and accounts within their fair share of the surplus.
+    /// Urgent jobs, and jobs of accounts within their fair share of the surplus.
     WithinShare,
-    /// Everybody: what nobody else can use is not left idle.
+    /// All jobs, so that accelerators that no other job can use do not stay idle.
     All,
 }
 
 impl Cell {
-    /// Places what can be placed, in the order of latest starts.
+    /// Runs a pass: places the jobs that can be placed, by latest start.
     pub(super) fn schedule(&mut self) {
         self.place_kept();
-        // A pass is bounded in what it tries and in what it places; the rest
-        // follows with the next command.
+        // A pass is bounded in the groups that it tries and in the jobs that it
+        // places; the rest follows with the next command.
         let mut budget = self.limits.groups_per_pass;
         self.placements_left = self.limits.placements_per_pass;
         for sweep in [Sweep::WithinShare, Sweep::All] {
@@ -50,7 +50,7 @@
             }
             let placed = self.try_place(key);
             self.placements_left -= usize::from(placed);
-            // After a success the group's next job is looked at in turn.
+            // After a placement, the group's next job is tried in its order.
             cursor = None;
             if !placed {
                 *budget -= 1;
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Accelerators of surplus for one unit of share among those who compete.
+    /// Returns the surplus accelerators per unit of share, divided among the
+    /// accounts that use surplus or have waiting jobs.
     fn share_unit(&self) -> f64 {
         let competing = |account: &&super::Account| {
             account.waiting_jobs > 0 || account.surplus_accelerators > 0
@@ -98,8 +99,8 @@
         true
     }
 
-    /// Urgent work of an account at its quota takes the place of work of its
-    /// own that can wait: what the account uses stays as it is.
+    /// Places an urgent job of an account at its quota by preempting the account's
+    /// own reclaimable work, so that its use stays within the quota.
     fn place_within_quota(&mut self, key: JobKey) -> bool {
         let Some(job) = self.jobs.get(key) else {
             return false;
@@ -112,21 +113,22 @@
         true
     }
 
-    /// A guaranteed shape is the account's own and never over its quota.
+    /// Returns whether the job would take its account over its quota. Jobs placed
+    /// in the account's own pledges are exempt from the quota.
     pub(super) fn over_quota(&self, job: &Job) -> bool {
         let account = &self.accounts[job.account.index()];
         account.used_accelerators + job.shape.accelerators()
             > account.declaration.quota_accelerators
     }
 
-    /// Gives a waiting job its place and asks the victims to leave it.
+    /// Assigns a waiting job to the place of `plan` and stops the plan's victims.
     pub(super) fn place(&mut self, key: JobKey, plan: Plan) {
         self.dequeue(key);
         self.release_kept(key);
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        // Work inside its own guarantee is nobody else's to take back.
+        // Work in a pledge of its own account is never preempted.
         let yields = plan.pledge.is_none() && self.may_yield(job);
         let mut members = Vec::with_capacity(plan.members.len());
         let mut taken = 0;
@@ -153,17 +155,17 @@
             job.pledge = plan.pledge;
             job.yields = yields;
             job.state = JobState::Claiming;
-            job.since_ms = now_ms;
+            job.state_since_ms = now_ms;
         }
-        self.charge(key, taken);
+        self.add_usage(key, taken);
         for victim in plan.victims {
             self.stop_gang(victim, plan.stop);
         }
-        self.reserve_if_held(key);
+        self.reserve_if_all_held(key);
     }
 
-    /// Counts accelerators that `job` has taken.
-    pub(super) fn charge(&mut self, job: JobKey, taken: u32) {
+    /// Adds accelerators that `job` has taken to the use of its account.
+    pub(super) fn add_usage(&mut self, job: JobKey, taken: u32) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
@@ -177,20 +179,20 @@
         }
     }
 
-    /// Counts accelerators that `job` has given back.
-    pub(super) fn discharge(&mut self, job: JobKey, given: u32) {
+    /// Subtracts accelerators that `job` has released from the use of its account.
+    pub(super) fn subtract_usage(&mut self, job: JobKey, released: u32) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
         if self.class(job.class).urgent {
             // A class may have become urgent while the job held them.
             let urgent = &mut self.headroom.urgent_accelerators;
-            *urgent = urgent.saturating_sub(given);
+            *urgent = urgent.saturating_sub(released);
         }
         let account = &mut self.accounts[job.account.index()];
-        account.used_accelerators -= given;
+        account.used_accelerators -= released;
         if job.pledge.is_none() {
-            account.surplus_accelerators -= given;
+            account.surplus_accelerators -= released;
         }
     }
 }
