--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -183,8 +183,8 @@
         class.reclaimable && job.submission.idempotent && job.preemptions < class.max_preemptions
     }
 
-    /// Returns whether the job may not be delayed for others: its class is
-    /// urgent, or its class can preempt and its latest start is close.
+    /// Returns whether the job must start soon and may not be delayed for others:
+    /// its class is urgent, or its class can reclaim and its latest start is close.
     pub(super) fn is_pressed(&self, job: &Job) -> bool {
         let class = self.class(job.class);
         let notice_ms = (class.completion_ms / START_NOTICE_DIVISOR).max(MIN_START_NOTICE_MS);
--- a/src/core/cell.rs
+++ b/src/core/cell.rs
@@ -52,7 +52,7 @@
     pub quarantine_ms: u64,
     /// Number of waiting gangs for which workers are reserved at a time.
     pub kept_gangs: usize,
-    /// Number of groups of waiting jobs that cannot be placed after which a pass
+    /// Number of groups of waiting jobs that may fail to be placed before a pass
     /// ends.
     pub groups_per_pass: usize,
     /// Jobs that may be placed in one pass.
@@ -155,6 +155,8 @@
     }
 
     /// Applies `command` and returns the effects that the owner has to carry out.
+    /// Time does not go back: a `now_ms` before that of an earlier command counts as
+    /// the latest one.
     pub fn apply(&mut self, command: Command, now_ms: u64) -> Vec<Effect> {
         self.now_ms = self.now_ms.max(now_ms);
         match command {
@@ -301,7 +303,7 @@
         self.classes
             .iter()
             .position(|class| class.declaration.name == name)
-            .map(|at| ClassKey(at as u8))
+            .map(|index| ClassKey(index as u8))
     }
 
     pub(super) fn class(&self, key: ClassKey) -> &ClassDeclaration {
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -76,15 +76,15 @@
     Recover(Vec<RecoveredJob>),
     /// A submission. The effect that answers it carries `token`.
     Submit {
-        /// The request to answer.
+        /// Token of the request to answer.
         token: u64,
         /// The job to run.
         submission: Submission,
     },
-    /// Cancels in one step those of the jobs that belong to the account. The effect that
-    /// answers the request carries `token`.
+    /// Cancels in one step those of the jobs that belong to the account. The
+    /// effect that answers the request carries `token`.
     Cancel {
-        /// The request to answer.
+        /// Token of the request to answer.
         token: u64,
         /// The account that has to own the jobs.
         account: String,
--- a/src/core/effect.rs
+++ b/src/core/effect.rs
@@ -109,7 +109,7 @@
 /// A refusal of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the submission is refused.
     pub reason: RefusalReason,
     /// Whether it is certain that the job did not run and will not run. Only an
     /// owner with a valid lease whose ledger does not contain the idempotency key
@@ -168,7 +168,7 @@
 pub enum StopKind {
     /// Other work preempts it.
     Preempt,
-    /// A large gang needs its place, and it can continue elsewhere.
+    /// A large gang needs its place, and the job can continue elsewhere.
     Move,
     /// The caller cancelled it.
     Cancel,
@@ -229,21 +229,21 @@
     },
     /// Answer that the submission is accepted, now or by an earlier request; gated.
     Accepted {
-        /// The request.
+        /// Token of the request.
         token: u64,
         /// The job.
         job: JobId,
     },
     /// Answer that the submission is refused.
     Refused {
-        /// The request.
+        /// Token of the request.
         token: u64,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
     },
     /// Answer that jobs are being cancelled and will not be resumed; gated.
     Cancelled {
-        /// The request.
+        /// Token of the request.
         token: u64,
         /// Number of the requested jobs that belong to the account and had not
         /// ended.
@@ -253,17 +253,18 @@
     Retried {
         /// The job.
         job: JobId,
-        /// Why.
+        /// Why the attempt is repeated.
         reason: RetryReason,
     },
     /// A job ended; gated.
     Ended {
         /// The job.
         job: JobId,
-        /// How.
+        /// How the job ended.
         outcome: Outcome,
     },
-    /// A worker fails the jobs it starts and gets none until its probation.
+    /// A worker failed several different jobs in a row and gets none until its
+    /// probation.
     Quarantined {
         /// The worker.
         worker: WorkerKey,
--- a/src/core/schedule.rs
+++ b/src/core/schedule.rs
@@ -38,14 +38,14 @@
         let share_unit = self.share_unit();
         let mut cursor: Option<Cursor> = None;
         while *budget > 0 && self.placements_left > 0 {
-            let Some((at, key)) = self.queue.next_ready(cursor) else {
+            let Some((position, key)) = self.queue.next_ready(cursor) else {
                 return;
             };
             let Some(job) = self.jobs.get(key) else {
                 return;
             };
             if sweep == Sweep::WithinShare && !self.within_share(job, share_unit) {
-                cursor = Some(at);
+                cursor = Some(position);
                 continue;
             }
             let placed = self.try_place(key);
@@ -54,7 +54,7 @@
             cursor = None;
             if !placed {
                 *budget -= 1;
-                self.queue.block(at);
+                self.queue.block(position);
                 self.keep_for(key);
             }
         }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,5 +1,5 @@
-//! The decision core against a brute-force oracle, on small fleets and random
-//! lists of jobs.
+//! Tests the decision core with random lists of jobs on a small fleet: against
+//! its invariants, a brute-force search and a naive scheduler.
 
 #[path = "support/driver.rs"]
 mod driver;
@@ -32,7 +32,8 @@
 const RACK_SIZE: usize = 4;
 const ACCELERATORS: u16 = 4;
 const GRACE_MS: u64 = 2_000;
-const CALLS_MS: u64 = 10;
+/// Bound of the time that the calls to the workers take.
+const CALL_TIME_MS: u64 = 10;
 
 fn declaration() -> Declaration {
     toml::from_str(
@@ -78,7 +79,7 @@
         quota_accelerators = 48
         "#,
     )
-    .expect("the declaration is right")
+    .expect("the declaration is valid")
 }
 
 fn guaranteed(account: &str) -> Shape {
@@ -126,42 +127,48 @@
         cancel,
     )
         .prop_map(
-            |(at_ms, account, class, shape, run_ms, lie, idempotent, cancel)| ListedJob {
-                at_ms,
-                account,
-                class,
-                shape,
-                declared_run_ms: (run_ms as f64 * lie) as u64 + 1,
-                actual_run_ms: run_ms,
-                idempotent,
-                cancel_at_ms: cancel.map(|after_ms| at_ms + after_ms),
-                broken: false,
+            |(at_ms, account, class, shape, run_ms, declared_ratio, idempotent, cancel)| {
+                ListedJob {
+                    at_ms,
+                    account,
+                    class,
+                    shape,
+                    declared_run_ms: (run_ms as f64 * declared_ratio) as u64 + 1,
+                    actual_run_ms: run_ms,
+                    idempotent,
+                    cancel_at_ms: cancel.map(|after_ms| at_ms + after_ms),
+                    broken: false,
+                }
             },
         )
 }
 
-/// What must hold after every decision.
-fn check(cell: &Cell) {
+/// Checks what must hold after every decision.
+fn check_invariants(cell: &Cell) {
     for (key, worker) in cell.fleet().workers() {
         let (mut held, mut claimed) = (0, 0);
         for (job_key, job) in cell.jobs() {
             for member in job.members.iter().filter(|member| member.worker == key) {
-                assert_eq!(held & member.held, 0, "two jobs hold one accelerator");
+                assert_eq!(held & member.held, 0, "two jobs hold the same accelerator");
                 held |= member.held;
                 assert_eq!(
                     worker.held_by(job_key) & !member.held,
                     0,
-                    "a job holds what it lists"
+                    "a worker counts accelerators for a job that does not hold them"
                 );
                 if job.state == JobState::Claiming {
                     claimed |= member.mask & !member.held;
                 }
             }
         }
-        assert_eq!(worker.free, worker.all & !held, "what nobody holds is free");
+        assert_eq!(
+            worker.free,
+            worker.all & !held,
+            "the free accelerators of a worker are not those that no job holds"
+        );
         assert_eq!(
             worker.claimed, claimed,
-            "claims are those of claiming gangs"
+            "the claims on a worker are not those of the claiming gangs"
         );
     }
     for (_, job) in cell
@@ -171,14 +178,16 @@
         let confirmed = |state| matches!(state, MemberState::Running | MemberState::Finished);
         assert!(
             job.members.iter().all(|member| confirmed(member.state)),
-            "gangs are whole"
+            "a running gang has members that have not confirmed"
         );
         assert_eq!(job.members.len(), usize::from(job.shape.workers));
     }
-    check_witness(cell);
+    check_pledges(cell);
 }
 
-fn check_witness(cell: &Cell) {
+/// Checks that every pledge without a reported shortfall can be provided: its
+/// accelerators are free, or held by reclaimable jobs or by the account itself.
+fn check_pledges(cell: &Cell) {
     let shortfalls = cell.shortfalls();
     for (_, pledge) in cell.pledges() {
         let account = &cell.accounts()[pledge.account.index()].declaration.name;
@@ -191,17 +200,16 @@
         assert_eq!(pledge.members.len(), usize::from(pledge.shape.workers));
         for &(key, mask) in &pledge.members {
             let worker = cell.fleet().worker(key);
-            let own_or_yields = |bit: usize| {
+            let is_available = |bit: usize| {
                 let holder = worker.holder(bit);
-                let job = holder.and_then(|holder| cell.jobs().find(|(at, _)| *at == holder));
+                let job =
+                    holder.and_then(|holder| cell.jobs().find(|(job_key, _)| *job_key == holder));
                 job.is_none_or(|(_, job)| job.yields || job.account == pledge.account)
             };
-            let all = (0..16)
-                .filter(|bit| mask >> bit & 1 == 1)
-                .all(own_or_yields);
+            let all = (0..16).filter(|bit| mask >> bit & 1 == 1).all(is_available);
             assert!(
                 all,
-                "a guarantee cannot be had back and no shortfall is reported"
+                "a guarantee cannot be provided and no shortfall is reported"
             );
         }
     }
@@ -216,28 +224,28 @@
     })]
 
     #[test]
-    fn holds_after_every_decision(
+    fn invariants_hold_after_every_decision(
         jobs in prop::collection::vec(listed_job(&["a", "b", "c"]), 1..60),
         bad_worker in prop::option::of(0..WORKERS),
     ) {
         let mix = mix(jobs, bad_worker.into_iter().collect());
         let mut driver = Driver::new(&mix);
-        driver.check = Some(check);
+        driver.check = Some(check_invariants);
 
         driver.run_until(120_000);
 
-        check(&driver.cell);
+        check_invariants(&driver.cell);
     }
 
     #[test]
-    fn every_account_has_its_shape_back_at_any_step(
+    fn every_account_gets_its_guaranteed_shape_within_the_grace_time(
         jobs in prop::collection::vec(listed_job(&["c"]), 1..60),
-        asked_ms in 1_000..60_000u64,
+        requested_ms in 1_000..60_000u64,
     ) {
         let mut jobs = jobs;
         for account in ["a", "b"] {
             jobs.push(ListedJob {
-                at_ms: asked_ms,
+                at_ms: requested_ms,
                 account,
                 class: "standard",
                 shape: guaranteed(account),
@@ -250,9 +258,9 @@
         }
         let mix = mix(jobs, HashSet::new());
         let mut driver = Driver::new(&mix);
-        driver.check = Some(check);
+        driver.check = Some(check_invariants);
 
-        driver.run_until(asked_ms + GRACE_MS + CALLS_MS);
+        driver.run_until(requested_ms + GRACE_MS + CALL_TIME_MS);
 
         for account in ["a", "b"] {
             let job = driver
@@ -265,7 +273,9 @@
     }
 
     #[test]
-    fn nothing_is_refused_that_fits_an_empty_fleet(job in listed_job(&["a", "b", "c"])) {
+    fn a_shape_is_refused_as_impossible_exactly_if_an_empty_fleet_cannot_hold_it(
+        job in listed_job(&["a", "b", "c"]),
+    ) {
         let mut submission = job.clone();
         submission.at_ms = 0;
         submission.cancel_at_ms = None;
@@ -280,7 +290,7 @@
     }
 
     #[test]
-    fn serves_at_least_what_the_naive_version_serves(
+    fn the_core_serves_at_least_as_many_jobs_as_the_naive_scheduler(
         jobs in prop::collection::vec(listed_job(&["a", "b", "c"]), 20..60),
     ) {
         let mut jobs = jobs;
@@ -292,20 +302,20 @@
 
         driver.run_until(mix.end_ms);
 
-        let lost = driver
+        let unserved = driver
             .cell
             .jobs()
             .filter(|(_, job)| job.outcome != OutcomeCode::Served)
             .count();
-        prop_assert_eq!(lost, 0, "every accepted job of a healthy fleet is served in an hour");
+        prop_assert_eq!(unserved, 0, "a job of a healthy fleet is not served within an hour");
         let served = driver.cell.jobs().count();
         prop_assert!(served >= naive.counted.min(naive.met));
     }
 }
 
-/// Whether an empty fleet holds the job, by trying every worker in turn: in the
-/// account's own guarantee, outside all guarantees, or anywhere if the job can
-/// be taken back.
+/// Returns whether an empty fleet can hold the job, by trying every worker in
+/// turn: in the account's own guarantee, outside all guarantees, or anywhere if
+/// the job is reclaimable.
 fn fits_by_brute_force(mix: &Mix, job: &ListedJob) -> bool {
     let quota = mix
         .declaration
@@ -340,7 +350,7 @@
     first_fit(&free, RACK_SIZE, &job.shape).is_some()
 }
 
-fn standard(account: &'static str, shape: Shape, at_ms: u64, run_ms: u64) -> ListedJob {
+fn standard_job(account: &'static str, shape: Shape, at_ms: u64, run_ms: u64) -> ListedJob {
     ListedJob {
         at_ms,
         account,
@@ -354,22 +364,22 @@
     }
 }
 
-/// Two late jobs of classes that are both reclaimable and reclaim: a user saw
-/// the owner stand still for ever at one core. Each preempted the other within
-/// one pass, because late work took from whatever could be taken back, also
-/// from work that was due before it.
+/// Guards against a scheduling pass that never ends and keeps one core busy. Two
+/// late jobs of classes that are reclaimable and also reclaim preempted each
+/// other in turn within one pass, because late work could preempt any reclaimable
+/// work, also work with an earlier deadline.
 #[test]
 fn late_jobs_do_not_preempt_each_other_in_turn() {
     let mut declaration = declaration();
     declaration.classes[1].reclaimable = true;
     declaration.classes[1].completion_ms = 20_000;
-    let whole = Shape {
+    let full_worker = Shape {
         accelerators_per_worker: 4,
         workers: 1,
         adjacency: Adjacency::Rack,
     };
     let jobs = (0..40)
-        .map(|at| standard("c", whole, at * 100, 15_000))
+        .map(|index| standard_job("c", full_worker, index * 100, 15_000))
         .collect();
     let mut mix = mix(jobs, HashSet::new());
     mix.declaration = declaration;
@@ -377,16 +387,16 @@
 
     driver.run_until(400_000);
 
-    let open = driver
+    let unfinished = driver
         .cell
         .jobs()
         .filter(|(_, job)| job.outcome == OutcomeCode::None)
         .count();
-    assert_eq!(open, 0);
+    assert_eq!(unfinished, 0);
 }
 
-/// A gang that stays must not be put off by small jobs: a user saw a large
-/// translation wait all day while renderings filled each gap as it opened.
+/// Guards against the starvation of a large gang by a steady stream of small jobs
+/// that fill each gap as it opens.
 #[test]
 fn small_jobs_do_not_starve_a_large_gang() {
     let small = Shape {
@@ -400,9 +410,9 @@
         adjacency: Adjacency::NeighbouringRacks,
     };
     let mut jobs: Vec<ListedJob> = (0..6_000)
-        .map(|at| standard("c", small, at * 50, 2_500))
+        .map(|index| standard_job("c", small, index * 50, 2_500))
         .collect();
-    jobs.push(standard("c", gang, 10_000, 5_000));
+    jobs.push(standard_job("c", gang, 10_000, 5_000));
     let mix = mix(jobs, HashSet::new());
     let mut driver = Driver::new(&mix);
 
@@ -419,17 +429,17 @@
     );
 }
 
-/// A worker that fails everything must not use up the retries of good jobs: a
-/// user saw job after job declared failed, all from one worker.
+/// Guards against a worker that fails every job and so uses up their attempts:
+/// jobs ended as failed one after the other, all because of one worker.
 #[test]
 fn bad_worker_is_quarantined_and_its_jobs_are_served_elsewhere() {
-    let small = Shape {
+    let full_worker = Shape {
         accelerators_per_worker: 4,
         workers: 1,
         adjacency: Adjacency::Rack,
     };
     let jobs = (0..30)
-        .map(|at| standard("c", small, at * 400, 1_000))
+        .map(|index| standard_job("c", full_worker, index * 400, 1_000))
         .collect();
     let mix = mix(jobs, [0, 1].into());
     let mut driver = Driver::new(&mix);
@@ -444,15 +454,16 @@
     assert_eq!(unserved, 0);
 }
 
-/// A job that can never run must not condemn the workers that it tried.
+/// Guards against quarantining workers for the failures of a job that fails
+/// everywhere.
 #[test]
-fn broken_job_is_given_up_and_quarantines_nobody() {
+fn broken_job_is_given_up_and_quarantines_no_worker() {
     let small = Shape {
         accelerators_per_worker: 1,
         workers: 1,
         adjacency: Adjacency::Rack,
     };
-    let mut job = standard("c", small, 0, 1_000);
+    let mut job = standard_job("c", small, 0, 1_000);
     job.broken = true;
     let mix = mix(vec![job], HashSet::new());
     let mut driver = Driver::new(&mix);
@@ -473,37 +484,37 @@
     );
 }
 
-/// A mechanic waited although his account ran forecasts: the account was at its
-/// quota, and urgent work waited like any other for some of it to end.
+/// Guards against a delay of urgent work of an account at its quota: it waited
+/// for other work of the account to end instead of preempting it.
 #[test]
-fn urgent_work_at_its_quota_takes_the_place_of_its_accounts_own_patient_work() {
-    let whole = Shape {
+fn urgent_work_at_quota_preempts_reclaimable_work_of_its_own_account() {
+    let full_worker = Shape {
         accelerators_per_worker: 4,
         workers: 1,
         adjacency: Adjacency::Rack,
     };
     let mut jobs: Vec<ListedJob> = (0..3)
-        .map(|at| ListedJob {
+        .map(|index| ListedJob {
             class: "overnight",
-            ..standard("c", whole, at, 600_000)
+            ..standard_job("c", full_worker, index, 600_000)
         })
         .collect();
     jobs.push(ListedJob {
         class: "urgent",
-        ..standard("c", Shape::single(1), 5_000, 500)
+        ..standard_job("c", Shape::single(1), 5_000, 500)
     });
     let mut mix = mix(jobs, HashSet::new());
     mix.declaration.accounts[2].quota_accelerators = 12;
     let mut driver = Driver::new(&mix);
     driver.check = Some(|cell| {
-        check(cell);
+        check_invariants(cell);
         assert!(
             cell.accounts()[2].used_accelerators <= 12,
-            "the quota holds"
+            "the account exceeds its quota"
         );
     });
 
-    driver.run_until(5_000 + GRACE_MS + 500 + CALLS_MS);
+    driver.run_until(5_000 + GRACE_MS + 500 + CALL_TIME_MS);
 
     let urgent = driver
         .cell
@@ -516,27 +527,27 @@
 }
 
 #[test]
-fn wave_of_cancellations_takes_one_pass() {
+fn ten_thousand_jobs_are_cancelled_by_one_command() {
     let small = Shape {
         accelerators_per_worker: 1,
         workers: 1,
         adjacency: Adjacency::Rack,
     };
     let jobs: Vec<ListedJob> = (0..10_000)
-        .map(|_| standard("c", small, 0, 60_000))
+        .map(|_| standard_job("c", small, 0, 60_000))
         .collect();
     let mut mix = mix(jobs, HashSet::new());
     mix.declaration.classes[1].queue_limit = 20_000;
     mix.declaration.accounts[2].queue_limit = 20_000;
     let mut driver = Driver::new(&mix);
     driver.run_until(500);
-    let all = driver.cell.jobs().map(|(_, job)| job.id).collect();
+    let ids = driver.cell.jobs().map(|(_, job)| job.id).collect();
 
     let effects = driver.cell.apply(
         fuchsiaslip::core::Command::Cancel {
             token: 1,
             account: "c".to_owned(),
-            jobs: all,
+            jobs: ids,
         },
         600,
     );
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -1,7 +1,7 @@
-//! Feeds a seeded list of events to the pure core in virtual time.
+//! Feeds a list of jobs to the decision core in virtual time.
 //!
-//! No cluster is simulated: workers do what they are told after a fixed time,
-//! unless the list says that a worker is bad.
+//! No cluster is simulated: workers obey every order after a fixed time, and
+//! tasks fail only on the bad workers of the mix or if the job is broken.
 #![allow(
     dead_code,
     clippy::allow_attributes,
@@ -38,12 +38,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+/// Duration of a call to a worker.
 const CALL_MS: u64 = 2;
 const TICK_MS: u64 = 1_000;
+/// Interval at which fragmentation is sampled.
 const SAMPLE_MS: u64 = 60_000;
+/// Longest time that a stopped task takes for its checkpoint.
 const CHECKPOINT_MS: u64 = 1_000;
 
-/// One job of the list, with what the caller does not know or say.
+/// One job of a mix, including what its caller does not know.
 #[derive(Clone, Debug)]
 pub struct ListedJob {
     pub at_ms: u64,
@@ -54,11 +57,11 @@
     pub actual_run_ms: u64,
     pub idempotent: bool,
     pub cancel_at_ms: Option<u64>,
-    /// Fails wherever it runs.
+    /// Whether its tasks fail on every worker.
     pub broken: bool,
 }
 
-/// A list with the place where it runs.
+/// A list of jobs and the fleet on which they run.
 #[derive(Clone, Debug)]
 pub struct Mix {
     pub name: String,
@@ -68,33 +71,33 @@
     pub accelerators: u16,
     pub end_ms: u64,
     pub jobs: Vec<ListedJob>,
-    /// Workers that fail everything they start.
+    /// Indexes of the workers on which every task fails.
     pub bad_workers: HashSet<usize>,
-    /// Shapes whose usability counts, with their weight.
+    /// Shapes by which fragmentation is measured, with their weights.
     pub demand: Vec<(Shape, f64)>,
 }
 
 impl Mix {
-    pub fn worker_name(at: usize) -> String {
-        format!("w{at:05}")
+    pub fn worker_name(index: usize) -> String {
+        format!("w{index:05}")
     }
 
     pub fn specs(&self) -> Vec<WorkerSpec> {
-        let spec = |at: usize| WorkerSpec {
-            name: Self::worker_name(at),
-            rack: format!("r{:05}", at / self.rack_size),
+        let spec = |index: usize| WorkerSpec {
+            name: Self::worker_name(index),
+            rack: format!("r{:05}", index / self.rack_size),
             accelerators: self.accelerators,
             leaving: false,
         };
         (0..self.workers).map(spec).collect()
     }
 
-    pub fn submission(&self, at: usize) -> Submission {
-        let job = &self.jobs[at];
+    pub fn submission(&self, index: usize) -> Submission {
+        let job = &self.jobs[index];
         let mut submission = Submission {
             account: job.account.to_owned(),
             class: job.class.to_owned(),
-            idempotency_key: at.to_string(),
+            idempotency_key: index.to_string(),
             idempotent: job.idempotent,
             declared_run_ms: job.declared_run_ms,
             ..Submission::default()
@@ -103,17 +106,20 @@
         submission
     }
 
-    /// Whether the job counts: the caller kept it and it could run.
-    pub fn counts(&self, at: usize) -> bool {
-        let job = &self.jobs[at];
+    /// Returns whether the job counts in the figures: it is neither cancelled nor
+    /// broken.
+    pub fn counts(&self, index: usize) -> bool {
+        let job = &self.jobs[index];
         !job.broken && job.cancel_at_ms.is_none()
     }
 }
 
-/// What came of a mix.
+/// Measurements of the run of a mix.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
+    /// Number of jobs that count, see [`Mix::counts`].
     pub counted: usize,
+    /// Number of counted jobs that met their deadline.
     pub met: usize,
     pub fragmentation: Vec<f64>,
     pub busy_accelerator_ms: u64,
@@ -124,14 +130,15 @@
     pub decision_ns: Vec<u64>,
     pub refused: HashMap<&'static str, usize>,
     pub preempted: usize,
+    /// `met` and `counted` of each class.
     pub met_by_class: BTreeMap<&'static str, (usize, usize)>,
 }
 
 pub fn percentile(values: &[u64], share: f64) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let at = ((sorted.len() as f64 - 1.0) * share).round() as usize;
-    sorted.get(at).copied().unwrap_or(0)
+    let index = ((sorted.len() as f64 - 1.0) * share).round() as usize;
+    sorted.get(index).copied().unwrap_or(0)
 }
 
 impl Figures {
@@ -157,37 +164,42 @@
     }
 }
 
-/// A gang counts as large from this many accelerators.
+/// Number of accelerators from which a gang counts as large.
 pub const LARGE_ACCELERATORS: u32 = 32;
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum Event {
     Submit(usize),
     Cancel(usize),
     Member(MemberReport),
 }
 
-/// Drives one mix through the core.
+/// Runs one mix through the core.
 pub struct Driver<'a> {
     pub mix: &'a Mix,
     pub cell: Cell,
     pub now_ms: u64,
     pub figures: Figures,
-    happenings: BTreeMap<(u64, u64), Happening>,
-    order: u64,
-    jobs: HashMap<JobId, usize>,
-    ids: HashMap<usize, JobId>,
-    /// Tasks that run: when they began and with how much progress.
+    /// Events to come, by time and then by the order in which they were scheduled.
+    events: BTreeMap<(u64, u64), Event>,
+    sequence: u64,
+    index_by_id: HashMap<JobId, usize>,
+    id_by_index: HashMap<usize, JobId>,
+    /// Running tasks: when they started and the progress they started with.
     tasks: HashMap<(AttemptId, u32), (u64, u64)>,
+    /// Stopped tasks whose scheduled end is ignored.
     stopped: HashSet<(AttemptId, u32)>,
     next_tick_ms: u64,
     next_sample_ms: u64,
-    /// Jobs that ask for a guaranteed shape that their account does not use.
-    reclaims: HashMap<JobId, u64>,
-    /// Jobs of guaranteed shape that have not ended, by account and shape.
-    own_shapes: HashMap<(&'static str, Shape), usize>,
-    /// Called after every decision.
+    /// Jobs that request a guaranteed shape which their account does not use yet,
+    /// with the time of the request.
+    reclaim_requests: HashMap<JobId, u64>,
+    /// Number of jobs of guaranteed shape that have not ended, by account and
+    /// shape.
+    guaranteed_jobs: HashMap<(&'static str, Shape), usize>,
+    /// Called after every command.
     pub check: Option<fn(&Cell)>,
+    /// Whether the durations of decisions are measured.
     pub timed: bool,
 }
 
@@ -198,16 +210,16 @@
             cell: Cell::new("dc", 1, Limits::default()),
             now_ms: 0,
             figures: Figures::default(),
-            happenings: BTreeMap::new(),
-            order: 0,
-            jobs: HashMap::new(),
-            ids: HashMap::new(),
+            events: BTreeMap::new(),
+            sequence: 0,
+            index_by_id: HashMap::new(),
+            id_by_index: HashMap::new(),
             tasks: HashMap::new(),
             stopped: HashSet::new(),
             next_tick_ms: TICK_MS,
             next_sample_ms: SAMPLE_MS,
-            reclaims: HashMap::new(),
-            own_shapes: HashMap::new(),
+            reclaim_requests: HashMap::new(),
+            guaranteed_jobs: HashMap::new(),
             check: None,
             timed: false,
         };
@@ -218,29 +230,26 @@
         };
         driver.apply(Command::Workers(mix.specs()));
         driver.apply(Command::Configure(Arc::new(configuration)));
-        for (at, job) in mix.jobs.iter().enumerate() {
-            driver.at(job.at_ms, Happening::Submit(at));
+        for (index, job) in mix.jobs.iter().enumerate() {
+            driver.schedule(job.at_ms, Event::Submit(index));
             if let Some(cancel_at_ms) = job.cancel_at_ms {
-                driver.at(cancel_at_ms, Happening::Cancel(at));
+                driver.schedule(cancel_at_ms, Event::Cancel(index));
             }
         }
         driver.timed = true;
         driver
     }
 
-    fn at(&mut self, at_ms: u64, happening: Happening) {
-        self.order += 1;
-        self.happenings
-            .insert((at_ms.max(self.now_ms), self.order), happening);
+    fn schedule(&mut self, at_ms: u64, event: Event) {
+        self.sequence += 1;
+        self.events
+            .insert((at_ms.max(self.now_ms), self.sequence), event);
     }
 
     /// Runs until `end_ms`.
     pub fn run_until(&mut self, end_ms: u64) {
         loop {
-            let next = self
-                .happenings
-                .first_key_value()
-                .map(|(&(at_ms, _), _)| at_ms);
+            let next = self.events.first_key_value().map(|(&(at_ms, _), _)| at_ms);
             let next_ms = next.unwrap_or(u64::MAX).min(self.next_tick_ms);
             if next_ms > end_ms {
                 break;
@@ -252,8 +261,8 @@
                 self.sample();
                 continue;
             }
-            if let Some((_, happening)) = self.happenings.pop_first() {
-                self.happen(happening);
+            if let Some((_, event)) = self.events.pop_first() {
+                self.handle_event(event);
             }
         }
         self.now_ms = end_ms;
@@ -271,27 +280,27 @@
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Submit(at) => {
-                let submission = self.mix.submission(at);
-                let token = at as u64;
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Submit(index) => {
+                let submission = self.mix.submission(index);
+                let token = index as u64;
                 self.apply(Command::Submit { token, submission });
             }
-            Happening::Cancel(at) => {
-                if let Some(&job) = self.ids.get(&at) {
+            Event::Cancel(index) => {
+                if let Some(&job) = self.id_by_index.get(&index) {
                     self.apply(Command::Cancel {
                         token: 0,
-                        account: self.mix.jobs[at].account.to_owned(),
+                        account: self.mix.jobs[index].account.to_owned(),
                         jobs: vec![job],
                     });
                 }
             }
-            Happening::Member(report) => self.member(report),
+            Event::Member(report) => self.handle_member_report(report),
         }
     }
 
-    fn member(&mut self, report: MemberReport) {
+    fn handle_member_report(&mut self, report: MemberReport) {
         let worker = self
             .cell
             .fleet()
@@ -320,13 +329,13 @@
             check(&self.cell);
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.handle_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn handle_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Accepted { token, job } => self.accepted(token as usize, job),
+            Effect::Accepted { token, job } => self.handle_accepted(token as usize, job),
             Effect::Refused { token, refusal } => {
                 *self
                     .figures
@@ -340,7 +349,7 @@
             }
             Effect::Reserve {
                 attempt, worker, ..
-            } => self.report(attempt, worker.0, CALL_MS, MemberEvent::Reserved),
+            } => self.schedule_report(attempt, worker.0, CALL_MS, MemberEvent::Reserved),
             Effect::Start {
                 attempt,
                 worker,
@@ -352,15 +361,15 @@
                 worker,
                 grace_ms,
             } => self.stop(attempt, worker.0, grace_ms),
-            Effect::Ended { job, outcome } => self.ended(job, outcome.code),
+            Effect::Ended { job, outcome } => self.handle_ended(job, outcome.code),
             _ => {}
         }
     }
 
-    fn accepted(&mut self, at: usize, job: JobId) {
-        self.jobs.insert(job, at);
-        self.ids.insert(at, job);
-        let listed = &self.mix.jobs[at];
+    fn handle_accepted(&mut self, index: usize, job: JobId) {
+        self.index_by_id.insert(job, index);
+        self.id_by_index.insert(index, job);
+        let listed = &self.mix.jobs[index];
         let class = self.mix.declaration.class(listed.class);
         let account = self.mix.declaration.account(listed.account);
         let guarantees = account.map(|account| account.guarantees.as_slice());
@@ -372,48 +381,54 @@
         else {
             return;
         };
-        let open = self
-            .own_shapes
+        let open_jobs = self
+            .guaranteed_jobs
             .entry((listed.account, listed.shape))
             .or_default();
-        *open += 1;
-        if *open <= usize::from(guarantee.count) {
-            self.reclaims.insert(job, self.now_ms);
+        *open_jobs += 1;
+        if *open_jobs <= usize::from(guarantee.count) {
+            self.reclaim_requests.insert(job, self.now_ms);
         }
     }
 
-    fn report(&mut self, attempt: AttemptId, worker: u32, delay_ms: u64, event: MemberEvent) {
+    fn schedule_report(
+        &mut self,
+        attempt: AttemptId,
+        worker: u32,
+        delay_ms: u64,
+        event: MemberEvent,
+    ) {
         let report = MemberReport {
             attempt,
             worker: Mix::worker_name(worker as usize),
             event,
         };
-        self.at(self.now_ms + delay_ms, Happening::Member(report));
+        self.schedule(self.now_ms + delay_ms, Event::Member(report));
     }
 
     fn start(&mut self, attempt: AttemptId, worker: u32, progress_ms: u64) {
-        let Some(&at) = self.jobs.get(&attempt.job) else {
+        let Some(&index) = self.index_by_id.get(&attempt.job) else {
             return;
         };
         self.tasks
             .insert((attempt, worker), (self.now_ms + CALL_MS, progress_ms));
-        self.report(attempt, worker, CALL_MS, MemberEvent::Started);
-        let listed = &self.mix.jobs[at];
-        let bad = self.mix.bad_workers.contains(&(worker as usize)) || listed.broken;
-        let left_ms = listed.actual_run_ms.saturating_sub(progress_ms).max(1);
-        match bad {
-            true => self.report(
+        self.schedule_report(attempt, worker, CALL_MS, MemberEvent::Started);
+        let listed = &self.mix.jobs[index];
+        let fails = self.mix.bad_workers.contains(&(worker as usize)) || listed.broken;
+        let remaining_ms = listed.actual_run_ms.saturating_sub(progress_ms).max(1);
+        match fails {
+            true => self.schedule_report(
                 attempt,
                 worker,
-                CALL_MS + left_ms.min(2_000),
+                CALL_MS + remaining_ms.min(2_000),
                 MemberEvent::Failed,
             ),
             false => {
                 let answer = AnswerRecord::default();
-                self.report(
+                self.schedule_report(
                     attempt,
                     worker,
-                    CALL_MS + left_ms,
+                    CALL_MS + remaining_ms,
                     MemberEvent::Finished(answer),
                 );
             }
@@ -421,34 +436,37 @@
     }
 
     fn stop(&mut self, attempt: AttemptId, worker: u32, grace_ms: u64) {
-        let Some((began_ms, progress_ms)) = self.tasks.remove(&(attempt, worker)) else {
-            return self.report(attempt, worker, CALL_MS, MemberEvent::NotBegun);
+        let Some((started_ms, progress_ms)) = self.tasks.remove(&(attempt, worker)) else {
+            return self.schedule_report(attempt, worker, CALL_MS, MemberEvent::NotBegun);
         };
         self.stopped.insert((attempt, worker));
-        let took_ms = CHECKPOINT_MS.min(grace_ms);
+        let checkpoint_ms = CHECKPOINT_MS.min(grace_ms);
         let saved_ms = match grace_ms {
             0 => progress_ms,
-            _ => progress_ms + self.now_ms.saturating_sub(began_ms),
+            _ => progress_ms + self.now_ms.saturating_sub(started_ms),
         };
         let event = MemberEvent::Stopped {
             progress_ms: saved_ms,
         };
-        self.report(attempt, worker, CALL_MS + took_ms, event);
+        self.schedule_report(attempt, worker, CALL_MS + checkpoint_ms, event);
     }
 
-    fn ended(&mut self, id: JobId, code: OutcomeCode) {
-        let Some(&at) = self.jobs.get(&id) else {
+    fn handle_ended(&mut self, id: JobId, code: OutcomeCode) {
+        let Some(&index) = self.index_by_id.get(&id) else {
             return;
         };
         let Some(job) = self.cell.job(id) else {
             return;
         };
         self.figures.preempted += job.preemptions as usize;
-        let listed = &self.mix.jobs[at];
-        if let Some(open) = self.own_shapes.get_mut(&(listed.account, listed.shape)) {
-            *open = open.saturating_sub(1);
+        let listed = &self.mix.jobs[index];
+        if let Some(open_jobs) = self
+            .guaranteed_jobs
+            .get_mut(&(listed.account, listed.shape))
+        {
+            *open_jobs = open_jobs.saturating_sub(1);
         }
-        if !self.mix.counts(at) {
+        if !self.mix.counts(index) {
             return;
         }
         let met = code == OutcomeCode::Served && job.ended_ms <= job.deadline_ms;
@@ -458,20 +476,20 @@
             let wait_ms = first_ms.saturating_sub(job.accepted_ms);
             self.figures.large_gang_waits_ms.push(wait_ms);
         }
-        self.figures.count_met(self.mix.jobs[at].class, met);
+        self.figures.count_met(self.mix.jobs[index].class, met);
     }
 
-    /// Counts what was still open at the end.
+    /// Adds the jobs that have not ended to the figures and returns the figures.
     pub fn finish(mut self) -> Figures {
-        let open: Vec<(usize, u64, u64, u32, Option<u64>)> = self
+        let open_jobs: Vec<(usize, u64, u64, u32, Option<u64>)> = self
             .cell
             .jobs()
             .filter(|(_, job)| job.outcome == OutcomeCode::None)
             .filter_map(|(_, job)| {
-                let at = *self.jobs.get(&job.id)?;
+                let index = *self.index_by_id.get(&job.id)?;
                 let size = job.shape.accelerators();
                 Some((
-                    at,
+                    index,
                     job.accepted_ms,
                     job.deadline_ms,
                     size,
@@ -479,8 +497,8 @@
                 ))
             })
             .collect();
-        for (at, accepted_ms, deadline_ms, size, first_ms) in open {
-            if !self.mix.counts(at) {
+        for (index, accepted_ms, deadline_ms, size, first_ms) in open_jobs {
+            if !self.mix.counts(index) {
                 continue;
             }
             if size >= LARGE_ACCELERATORS {
@@ -489,17 +507,17 @@
                     .large_gang_waits_ms
                     .push(until_ms.saturating_sub(accepted_ms));
             }
-            // A job whose time is not up yet neither met nor missed it.
+            // A job with a deadline in the future has neither met nor missed it.
             if deadline_ms <= self.now_ms {
-                self.figures.count_met(self.mix.jobs[at].class, false);
+                self.figures.count_met(self.mix.jobs[index].class, false);
             }
         }
-        for (id, asked_ms) in std::mem::take(&mut self.reclaims) {
+        for (id, requested_ms) in std::mem::take(&mut self.reclaim_requests) {
             let Some(job) = self.cell.job(id) else {
                 continue;
             };
             match job.first_running_ms {
-                Some(first_ms) => self.figures.reclaim_ms.push(first_ms - asked_ms),
+                Some(first_ms) => self.figures.reclaim_ms.push(first_ms - requested_ms),
                 None if job.outcome == OutcomeCode::None => self.figures.reclaim_failures += 1,
                 None => {}
             }
--- a/tests/support/naive.rs
+++ b/tests/support/naive.rs
@@ -1,5 +1,6 @@
-//! The naive version: first come first served, first fit, no lending, no
-//! preemption, no reservation. Each account's guarantee is walled off for it.
+//! A naive scheduler to compare the core with: first come first served and first
+//! fit, without lending, preemption or reservations. Each account's guarantee is
+//! a separate pool that no other account uses.
 #![allow(
     dead_code,
     clippy::allow_attributes,
@@ -19,43 +20,49 @@
 use std::collections::BTreeMap;
 
 const TICK_MS: u64 = 1_000;
+/// Interval at which fragmentation is sampled.
 const SAMPLE_MS: u64 = 60_000;
+/// Longest time after which a failing job fails.
 const FAILURE_MS: u64 = 2_000;
 const MAX_FAILURES: u32 = 5;
 
 #[derive(Clone, Debug)]
 struct Running {
     job: usize,
+    /// Workers of the job, followed by the index of the pool.
     members: Vec<usize>,
     fails: bool,
 }
 
-/// Runs a mix naively.
+/// The naive scheduler with the state of the mix that it runs.
 pub struct Naive<'a> {
     mix: &'a Mix,
     now_ms: u64,
-    /// Free accelerators of each worker in each pool: 0 is the common one, the
-    /// others are the accounts' guarantees.
+    /// Free accelerators of each worker in each pool: pool 0 is shared, the others
+    /// are the guarantees of one account each.
     free: Vec<Vec<u32>>,
+    /// Account of each pool; empty for the shared one.
     pools: Vec<String>,
     waiting: Vec<usize>,
+    /// Running jobs by the time of their end and the order of their start.
     ends: BTreeMap<(u64, u64), Running>,
-    order: u64,
+    sequence: u64,
     failures: Vec<u32>,
     figures: Figures,
     changed: bool,
 }
 
-/// The first workers in order that can hold `shape`, out of `free`.
+/// Returns the first workers that can hold `shape`, given the free accelerators of
+/// each worker.
 pub fn first_fit(free: &[u32], rack_size: usize, shape: &Shape) -> Option<Vec<usize>> {
     let per_worker = u32::from(shape.accelerators_per_worker);
     let wanted = usize::from(shape.workers);
     let fits = |range: std::ops::Range<usize>| -> Option<Vec<usize>> {
-        let found: Vec<usize> = range
-            .filter(|&at| free[at] >= per_worker)
+        let workers: Vec<usize> = range
+            .filter(|&index| free[index] >= per_worker)
             .take(wanted)
             .collect();
-        (found.len() == wanted).then_some(found)
+        (workers.len() == wanted).then_some(workers)
     };
     let racks = free.len().div_ceil(rack_size);
     let rack_range = |first: usize, count: usize| {
@@ -80,17 +87,19 @@
             pools: vec![String::new()],
             waiting: Vec::new(),
             ends: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             failures: vec![0; mix.jobs.len()],
             figures: Figures::default(),
             changed: false,
         };
-        naive.wall_off();
-        naive.run_list();
+        naive.assign_guarantees();
+        naive.run_jobs();
         naive.figures
     }
 
-    fn wall_off(&mut self) {
+    /// Moves accelerators for the guaranteed shapes from the shared pool to the
+    /// pools of their accounts.
+    fn assign_guarantees(&mut self) {
         let mut wanted: Vec<(&str, Shape)> = Vec::new();
         for account in &self.mix.declaration.accounts {
             for guarantee in &account.guarantees {
@@ -123,20 +132,20 @@
         }
     }
 
-    fn run_list(&mut self) {
+    fn run_jobs(&mut self) {
         let mut next_job = 0;
         let mut next_tick_ms = TICK_MS;
         let mut next_sample_ms = SAMPLE_MS;
-        let mut order: Vec<usize> = (0..self.mix.jobs.len()).collect();
-        order.sort_by_key(|&at| self.mix.jobs[at].at_ms);
+        let mut by_time: Vec<usize> = (0..self.mix.jobs.len()).collect();
+        by_time.sort_by_key(|&index| self.mix.jobs[index].at_ms);
         loop {
-            let submit_ms = order
+            let submit_ms = by_time
                 .get(next_job)
-                .map_or(u64::MAX, |&at| self.mix.jobs[at].at_ms);
+                .map_or(u64::MAX, |&index| self.mix.jobs[index].at_ms);
             let end_ms = self
                 .ends
                 .first_key_value()
-                .map_or(u64::MAX, |((at, _), _)| *at);
+                .map_or(u64::MAX, |((end_ms, _), _)| *end_ms);
             let next_ms = submit_ms.min(end_ms).min(next_tick_ms);
             if next_ms > self.mix.end_ms {
                 break;
@@ -147,7 +156,7 @@
                     self.end(running);
                 }
             } else if next_ms == submit_ms {
-                self.waiting.push(order[next_job]);
+                self.waiting.push(by_time[next_job]);
                 next_job += 1;
                 self.changed = true;
             } else {
@@ -164,8 +173,12 @@
 
     fn cancel(&mut self) {
         let (mix, now_ms) = (self.mix, self.now_ms);
-        let cancelled = |at: usize| mix.jobs[at].cancel_at_ms.is_some_and(|due| due <= now_ms);
-        self.waiting.retain(|&at| !cancelled(at));
+        let cancelled = |index: usize| {
+            mix.jobs[index]
+                .cancel_at_ms
+                .is_some_and(|due| due <= now_ms)
+        };
+        self.waiting.retain(|&index| !cancelled(index));
         let stopped: Vec<(u64, u64)> = self
             .ends
             .iter()
@@ -187,7 +200,7 @@
         if self.now_ms >= *next_sample_ms {
             *next_sample_ms += SAMPLE_MS;
             let by_worker: Vec<u32> = (0..self.mix.workers)
-                .map(|at| self.free.iter().map(|pool| pool[at]).sum())
+                .map(|index| self.free.iter().map(|pool| pool[index]).sum())
                 .collect();
             let racks: Vec<Vec<u32>> = by_worker
                 .chunks(self.mix.rack_size)
@@ -200,20 +213,20 @@
 
     fn place(&mut self) {
         let mut failed: Vec<(Shape, &str)> = Vec::new();
-        let mut still = Vec::new();
-        for at in std::mem::take(&mut self.waiting) {
-            let job = &self.mix.jobs[at];
-            let known = failed.contains(&(job.shape, job.account));
-            if known || !self.start(at) {
+        let mut still_waiting = Vec::new();
+        for index in std::mem::take(&mut self.waiting) {
+            let job = &self.mix.jobs[index];
+            let known_to_fail = failed.contains(&(job.shape, job.account));
+            if known_to_fail || !self.start(index) {
                 failed.push((job.shape, job.account));
-                still.push(at);
+                still_waiting.push(index);
             }
         }
-        self.waiting = still;
+        self.waiting = still_waiting;
     }
 
-    fn start(&mut self, at: usize) -> bool {
-        let job = &self.mix.jobs[at];
+    fn start(&mut self, index: usize) -> bool {
+        let job = &self.mix.jobs[index];
         let own = self.pools.iter().position(|name| name == job.account);
         for pool in own.into_iter().chain([0]) {
             let rack_size = self.mix.rack_size;
@@ -223,7 +236,7 @@
             for &worker in &members {
                 self.free[pool][worker] -= u32::from(job.shape.accelerators_per_worker);
             }
-            if job.shape.accelerators() >= LARGE_ACCELERATORS && self.mix.counts(at) {
+            if job.shape.accelerators() >= LARGE_ACCELERATORS && self.mix.counts(index) {
                 let wait_ms = self.now_ms - job.at_ms;
                 self.figures.large_gang_waits_ms.push(wait_ms);
             }
@@ -235,16 +248,16 @@
                 true => job.actual_run_ms.min(FAILURE_MS),
                 false => job.actual_run_ms,
             };
-            self.order += 1;
+            self.sequence += 1;
             let mut members = members;
             members.push(pool);
             let running = Running {
-                job: at,
+                job: index,
                 members,
                 fails,
             };
             self.ends
-                .insert((self.now_ms + run_ms, self.order), running);
+                .insert((self.now_ms + run_ms, self.sequence), running);
             return true;
         }
         false
@@ -263,15 +276,15 @@
 
     fn end(&mut self, running: Running) {
         self.release(&running);
-        let at = running.job;
-        let job = &self.mix.jobs[at];
+        let index = running.job;
+        let job = &self.mix.jobs[index];
         if running.fails {
-            self.failures[at] += 1;
-            if self.failures[at] < MAX_FAILURES && job.idempotent {
-                return self.waiting.push(at);
+            self.failures[index] += 1;
+            if self.failures[index] < MAX_FAILURES && job.idempotent {
+                return self.waiting.push(index);
             }
         }
-        if self.mix.counts(at) {
+        if self.mix.counts(index) {
             let class = self.mix.declaration.class(job.class);
             let deadline_ms = job.at_ms + class.map_or(0, |class| class.completion_ms);
             let met = !running.fails && self.now_ms <= deadline_ms;
@@ -282,12 +295,12 @@
     fn finish(&mut self) {
         let running: Vec<usize> = self.ends.values().map(|running| running.job).collect();
         let waiting = self.waiting.clone();
-        for at in waiting.iter().chain(&running).copied() {
-            let job = &self.mix.jobs[at];
-            if !self.mix.counts(at) {
+        for index in waiting.iter().chain(&running).copied() {
+            let job = &self.mix.jobs[index];
+            if !self.mix.counts(index) {
                 continue;
             }
-            if waiting.contains(&at) && job.shape.accelerators() >= LARGE_ACCELERATORS {
+            if waiting.contains(&index) && job.shape.accelerators() >= LARGE_ACCELERATORS {
                 let wait_ms = self.mix.end_ms - job.at_ms;
                 self.figures.large_gang_waits_ms.push(wait_ms);
             }
