--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! Figures of the decision core beside the naive version, in virtual time.
+//! Compares the decision core with a naive scheduler in virtual time, and measures
+//! the time and memory of decisions by the size of the fleet.
 //!
 //! `cargo bench --bench decisions` prints lines `figure NAME VALUE`.
 
@@ -19,6 +20,7 @@
 use naive::Naive;
 
 const SEED: u64 = 20_261_202;
+/// Numbers of workers.
 const SIZES: [usize; 3] = [730, 2_300, 7_300];
 const NS_PER_US: f64 = 1_000.0;
 const MS_PER_S: f64 = 1_000.0;
@@ -47,6 +49,7 @@
     driver.finish()
 }
 
+/// Resident memory of this process in megabytes.
 fn rss_mb() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = statm
@@ -57,8 +60,10 @@
     pages * 4_096.0 / 1_048_576.0
 }
 
-/// The mixes do not share anything, so they run side by side; their figures
-/// are in virtual time.
+/// Runs the mixes whose name contains `only` and reports their figures.
+///
+/// The mixes share no state and their figures are in virtual time, so they run in
+/// parallel.
 fn mixes(only: Option<&str>, detailed: bool) {
     let mut mixes: Vec<Mix> = Deployment::ALL
         .into_iter()
@@ -99,12 +104,13 @@
     figure("reclaim_failures", failures as f64);
 }
 
+/// Reports the decision times and the memory of the core for each size.
 fn sizes() {
     for workers in SIZES {
         let mix = mixes::sized(workers, SEED);
         let before_mb = rss_mb();
         let mut driver = Driver::new(&mix);
-        // The filling is not measured.
+        // Decisions while the fleet fills up are not measured.
         driver.run_until(workers as u64 * 4 + 30_000);
         let core_mb = rss_mb() - before_mb;
         let running = driver
@@ -129,7 +135,8 @@
         .skip(1)
         .find(|argument| !argument.starts_with('-'));
     let detailed = std::env::args().any(|argument| argument == "--detail");
-    // The sizes come first: their memory is read off a fresh process.
+    // The sizes run first, because they measure memory that the mixes would
+    // already have allocated.
     if only.is_none() || only.as_deref() == Some("size") {
         sizes();
     }
--- a/benches/support/mod.rs
+++ b/benches/support/mod.rs
@@ -1,8 +1,8 @@
-//! What the benches of running daemons share.
+//! Helpers shared by the benches of running daemons.
 #![allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "each bench uses some of it"
+    reason = "each bench uses only some of the helpers"
 )]
 
 use fuchsiaslip::client::{
@@ -34,8 +34,8 @@
 pub fn percentile(values: &[u64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let at = ((sorted.len() as f64 - 1.0) * share).round() as usize;
-    sorted.get(at).copied().unwrap_or(0) as f64
+    let index = ((sorted.len() as f64 - 1.0) * share).round() as usize;
+    sorted.get(index).copied().unwrap_or(0) as f64
 }
 
 /// Workers of 8 accelerators in racks of 6.
@@ -48,7 +48,8 @@
     }
 }
 
-/// Starts a daemon and puts it on the platform's list.
+/// Starts a daemon with the settings that `change` adjusts, and registers it with
+/// the platform.
 pub fn daemon(
     name: &str,
     data_centre: &str,
@@ -64,14 +65,15 @@
         platform.address(),
         token_digest(OPERATOR_TOKEN)
     );
-    let mut settings = Settings::parse(&text).expect("the settings are right");
+    let mut settings = Settings::parse(&text).expect("the settings are valid");
     change(&mut settings);
     let daemon = Daemon::spawn(settings, timer.clone()).expect("loopback ports are free");
     platform.add_daemon(name, data_centre, &daemon.peer_address.to_string());
     daemon
 }
 
-/// The first patch: one account in `data_centres`, urgent and overnight work.
+/// The first patch: one account in `data_centres`, with an urgent and an overnight
+/// class.
 pub fn first_patch(data_centres: &[&str]) -> String {
     format!(
         r#"
@@ -102,7 +104,7 @@
     )
 }
 
-/// A patch that changes the weights of `base_version`.
+/// A patch on top of version `base_version` that changes the weights.
 pub fn next_patch(base_version: u64) -> String {
     let completion = 0.1 + (base_version % 9) as f64 / 10.0;
     format!(
@@ -135,7 +137,7 @@
     Client::open(&daemon.http_address.to_string(), token, timer.clone())
 }
 
-/// Applies a patch, trying until it is accepted.
+/// Applies a patch, retrying until it is accepted.
 pub async fn apply(client: &Client, patch: &str, timer: &Timer) {
     for _ in 0..400 {
         let applied = client.apply(patch).await;
@@ -144,24 +146,24 @@
         }
         timer.sleep(50).await;
     }
-    panic!("a patch was not accepted in 20 s");
+    panic!("the patch was not accepted within 20 s");
 }
 
-/// Submits until a job is served, so that the daemons are warm.
+/// Submits jobs until one is served, so that the daemons are warmed up.
 pub async fn warm_up(client: &Client, timer: &Timer) {
-    for turn in 0..400 {
+    for attempt in 0..400 {
         let submitted = client
-            .submit(&format!("warm-{turn}"), &urgent(1, "warm"), 5_000)
+            .submit(&format!("warm-{attempt}"), &urgent(1, "warm"), 5_000)
             .await;
         if submitted.is_ok_and(|response| response.job.is_some()) {
             return;
         }
         timer.sleep(50).await;
     }
-    panic!("nothing was served in 20 s");
+    panic!("no job was served within 20 s");
 }
 
-/// Bytes that the loopback interface has carried, headers included.
+/// Bytes that the loopback interface has received, including headers.
 pub fn loopback_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
@@ -171,9 +173,10 @@
     received.and_then(|bytes| bytes.parse().ok()).unwrap_or(0)
 }
 
-/// Processor time so far of this process's threads whose name is in `names`,
+/// CPU time used so far by the threads of this process whose name is in `names`,
 /// in milliseconds.
 pub fn thread_cpu_ms(names: &[&str]) -> u64 {
+    /// `/proc` counts CPU time in ticks of 10 ms.
     const MS_PER_TICK: u64 = 10;
     let tasks = std::fs::read_dir("/proc/self/task")
         .into_iter()
--- a/src/core/bitset.rs
+++ b/src/core/bitset.rs
@@ -1,4 +1,4 @@
-//! A fixed-size set of small integers.
+//! A set of small integers below a fixed bound.
 
 const WORD_BITS: usize = u64::BITS as usize;
 
@@ -21,12 +21,12 @@
         self.words[index / WORD_BITS] |= 1 << (index % WORD_BITS);
     }
 
-    /// Takes `index` out.
+    /// Removes `index`.
     pub fn remove(&mut self, index: usize) {
         self.words[index / WORD_BITS] &= !(1 << (index % WORD_BITS));
     }
 
-    /// The members in rising order.
+    /// The members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.words.iter().enumerate().flat_map(|(at, &word)| {
             std::iter::successors((word != 0).then_some(word), |rest| {
@@ -37,8 +37,8 @@
         })
     }
 
-    /// The members in falling order.
-    pub fn iter_down(&self) -> impl Iterator<Item = usize> + '_ {
+    /// The members in descending order.
+    pub fn iter_descending(&self) -> impl Iterator<Item = usize> + '_ {
         self.words.iter().enumerate().rev().flat_map(|(at, &word)| {
             std::iter::successors((word != 0).then_some(word), |&rest| {
                 let next = rest & !(1 << (WORD_BITS - 1 - rest.leading_zeros() as usize));
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -1,8 +1,8 @@
-//! Moving small work that can wait out of the way of a large gang.
+//! Consolidation: moves smaller reclaimable jobs out of the way of a large gang.
 //!
-//! Small jobs scatter over the racks; a gang then waits although enough
-//! accelerators are free. Work that can be taken back is preempted after a
-//! checkpoint and finds another place, if the gang gains more than that costs.
+//! When small jobs are scattered over the racks, a gang can wait although enough
+//! accelerators are free. Reclaimable jobs are then preempted after a checkpoint
+//! and placed elsewhere, if the time that the gang gains outweighs the cost.
 
 use super::{
     Cell,
@@ -15,54 +15,59 @@
     region,
     worker::AcceleratorMask,
     worker::bits,
-    worker::lowest, //
+    worker::lowest_bits, //
 };
 
-/// What a moved accelerator costs beyond its checkpoint: the time until it is
-/// placed again and running.
+/// Expected time from a moved job's checkpoint until it is placed and running
+/// again, counted in the cost of the move.
 const RESTART_MS: u64 = 60_000;
-/// The gang has to gain so many times what the moves cost.
+/// The gain of the gang has to exceed the cost of the moves by this factor.
 const GAIN_FACTOR: u64 = 2;
-/// A job is moved no more often than this.
+/// Maximum number of times that a job is moved.
 const MAX_MOVES: u32 = 1;
-/// The weight of each accelerator that is moved, against a free one.
+/// Cost of an accelerator whose holder is moved; a free one costs nothing.
 const MOVED_ACCELERATOR_COST: u64 = 1;
 
 impl Cell {
-    /// A place for a gang once small work has been moved out of it, if waiting
-    /// for a place to come free by itself until `ready_ms` costs more.
+    /// A placement for a gang on accelerators that smaller jobs are moved away from.
+    /// `None` if these moves cost more than waiting until `ready_ms`, when a region
+    /// is expected to be free without them.
     pub(super) fn consolidating_plan(&self, job: &Job, ready_ms: Option<u64>) -> Option<Plan> {
         let per_worker = job.shape.accelerators_per_worker;
-        let yields = self.may_yield(job);
-        let open = |worker: &Worker| self.movable_mask(job, yields, worker);
+        let is_reclaimable = self.may_yield(job);
+        let available = |worker: &Worker| self.movable_mask(job, is_reclaimable, worker);
         let cost = |key: WorkerKey| -> Option<u64> {
             let worker = self.fleet.worker(key);
-            let mask = open(worker);
-            if worker.kept_for.is_some() || mask.count_ones() < u32::from(per_worker) {
+            let mask = available(worker);
+            if worker.reserved_for.is_some() || mask.count_ones() < u32::from(per_worker) {
                 return None;
             }
-            let moved = cheapest_first(worker, mask, per_worker) & !worker.free;
+            let moved = free_first(worker, mask, per_worker) & !worker.free;
             Some(u64::from(moved.count_ones()) * MOVED_ACCELERATOR_COST)
         };
-        let workers =
-            region::find_cheapest(&self.fleet, &job.shape, region::End::of(yields), cost)?;
+        let workers = region::find_cheapest(
+            &self.fleet,
+            &job.shape,
+            region::End::of(is_reclaimable),
+            cost,
+        )?;
         let members = workers
             .into_iter()
             .map(|key| {
                 let worker = self.fleet.worker(key);
-                (key, cheapest_first(worker, open(worker), per_worker))
+                (key, free_first(worker, available(worker), per_worker))
             })
             .collect();
-        let mut plan = self.with_victims(members, None);
+        let mut plan = self.plan_with_victims(members, None);
         plan.stop = StopKind::Move;
         self.is_worth_moving(job, &plan, ready_ms).then_some(plan)
     }
 
-    /// Free accelerators that the gang may use, and those held by smaller work
-    /// that may be moved once more.
-    fn movable_mask(&self, gang: &Job, yields: bool, worker: &Worker) -> AcceleratorMask {
-        let usable = worker.usable_by(yields);
-        let movable = bits(usable & worker.yielding & !worker.claimed & !worker.free)
+    /// The free accelerators that the gang may use, and those held by smaller jobs
+    /// that may be moved.
+    fn movable_mask(&self, gang: &Job, is_reclaimable: bool, worker: &Worker) -> AcceleratorMask {
+        let usable = worker.usable_by(is_reclaimable);
+        let movable = bits(usable & worker.reclaimable & !worker.claimed & !worker.free)
             .filter(|&bit| {
                 let holder = worker.holder(bit).and_then(|key| self.jobs.get(key));
                 holder.is_some_and(|job| self.may_be_moved(gang, job))
@@ -71,14 +76,16 @@
         usable & worker.free | movable
     }
 
-    /// Only smaller work is moved, so that two gangs never drive each other
-    /// out in turn, and none more often than the bound.
+    /// Whether `job` may be moved for `gang`. Only smaller jobs are moved, so that two
+    /// gangs never displace each other in turn, and none more than `MAX_MOVES` times.
     fn may_be_moved(&self, gang: &Job, job: &Job) -> bool {
         job.state == JobState::Running
             && job.shape.accelerators() < gang.shape.accelerators()
             && job.moves < MAX_MOVES
     }
 
+    /// Whether the gang gains enough from the moves in accelerator-milliseconds: what
+    /// it saves against the checkpoints and restarts of the victims.
     fn is_worth_moving(&self, gang: &Job, plan: &Plan, ready_ms: Option<u64>) -> bool {
         let mut cost = 0;
         let mut grace_ms = 0;
@@ -95,8 +102,9 @@
     }
 }
 
-fn cheapest_first(worker: &Worker, mask: AcceleratorMask, count: u16) -> AcceleratorMask {
-    let free = lowest(mask & worker.free, count);
+/// The first `count` accelerators of `mask`, free ones first.
+fn free_first(worker: &Worker, mask: AcceleratorMask, count: u16) -> AcceleratorMask {
+    let free = lowest_bits(mask & worker.free, count);
     let rest = count - free.count_ones() as u16;
-    free | lowest(mask & !worker.free, rest)
+    free | lowest_bits(mask & !worker.free, rest)
 }
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers of a cell with the indexes that spare a decision the scan.
+//! The workers of a data centre, with indexes that save a scan of all of them.
 
 use super::{
     Index,
@@ -9,30 +9,32 @@
 };
 use std::collections::HashMap;
 
-/// Which accelerators of a worker a search counts.
+/// A selection of the accelerators of each worker, by holder and pledge.
+///
+/// A worker that accepts no jobs has none in any view.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum View {
-    /// Free and outside every guarantee: open to any work.
+    /// Free and outside every pledge: usable by any job.
     Surplus,
-    /// Free: open to work that can be taken back.
+    /// Free: usable by reclaimable jobs.
     Free,
-    /// Outside every guarantee, and free or held by work that can be taken back.
-    Yieldable,
+    /// Outside every pledge, and either free or held by a reclaimable job.
+    Reclaimable,
 }
 
 impl View {
-    const ALL: [View; 3] = [View::Surplus, View::Free, View::Yieldable];
+    const ALL: [View; 3] = [View::Surplus, View::Free, View::Reclaimable];
 
-    /// The free accelerators that are open to work that can, or cannot, be
-    /// taken back.
-    pub fn open_to(yields: bool) -> Self {
-        match yields {
+    /// The view of the free accelerators that a job may use, by whether it is
+    /// reclaimable.
+    pub fn free_for(is_reclaimable: bool) -> Self {
+        match is_reclaimable {
             true => View::Free,
             false => View::Surplus,
         }
     }
 
-    /// The accelerators of `worker` that count.
+    /// The accelerators of `worker` that are in the view.
     pub fn mask(self, worker: &Worker) -> AcceleratorMask {
         if !worker.takes_work() {
             return 0;
@@ -40,7 +42,9 @@
         match self {
             View::Surplus => worker.free & !worker.pledged,
             View::Free => worker.free,
-            View::Yieldable => (worker.free | worker.yielding & !worker.claimed) & !worker.pledged,
+            View::Reclaimable => {
+                (worker.free | worker.reclaimable & !worker.claimed) & !worker.pledged
+            }
         }
     }
 }
@@ -52,12 +56,12 @@
     by_name: HashMap<String, WorkerKey>,
     racks: Vec<Vec<WorkerKey>>,
     rack_names: HashMap<String, RackKey>,
-    views: [Index; 3],
+    indexes: [Index; 3],
 }
 
 impl Fleet {
-    /// Adds a worker, or finds it by name; the caller re-reads the indexes
-    /// with [`Fleet::reindex`] once all are added.
+    /// Adds a worker unless its name is known, and returns its key. The caller
+    /// rebuilds the indexes with [`Fleet::reindex`] once all workers are added.
     pub fn add(&mut self, name: &str, rack: &str, accelerators: u16) -> WorkerKey {
         if let Some(&key) = self.by_name.get(name) {
             return key;
@@ -78,15 +82,15 @@
     /// Rebuilds every index.
     pub fn reindex(&mut self) {
         let (workers, racks) = (self.workers.len(), self.racks.len());
-        for view in &mut self.views {
-            *view = Index::with_bounds(workers, racks);
+        for index in &mut self.indexes {
+            *index = Index::with_bounds(workers, racks);
         }
         for key in 0..workers {
-            self.refresh(WorkerKey(key as u32));
+            self.update_indexes(WorkerKey(key as u32));
         }
     }
 
-    /// Looks a worker up by the platform's name.
+    /// Finds a worker by the platform's name for it.
     pub fn find(&self, name: &str) -> Option<WorkerKey> {
         self.by_name.get(name).copied()
     }
@@ -96,23 +100,24 @@
         &self.workers[key.index()]
     }
 
-    /// Changes the worker of `key` and brings its indexes up to date.
+    /// Changes the worker of `key` and updates the indexes.
     pub fn update<R>(&mut self, key: WorkerKey, change: impl FnOnce(&mut Worker) -> R) -> R {
         let result = change(&mut self.workers[key.index()]);
-        self.refresh(key);
+        self.update_indexes(key);
         result
     }
 
-    fn refresh(&mut self, key: WorkerKey) {
+    fn update_indexes(&mut self, key: WorkerKey) {
         let worker = &self.workers[key.index()];
         for view in View::ALL {
-            // A worker kept for a waiting gang is out of the indexes: only that
-            // gang and short work that ends before it find it, by its list.
-            let count = match worker.kept_for {
+            // A worker that is reserved for a waiting gang counts nothing in the
+            // indexes. That gang and the jobs that backfill find it through the
+            // reservation.
+            let count = match worker.reserved_for {
                 Some(_) => 0,
                 None => view.mask(worker).count_ones() as usize,
             };
-            self.views[view as usize].set(key, worker.rack, count);
+            self.indexes[view as usize].set(key, worker.rack, count);
         }
     }
 
@@ -124,7 +129,7 @@
             .map(|(at, worker)| (WorkerKey(at as u32), worker))
     }
 
-    /// Number of workers known, lost ones included.
+    /// Number of known workers, including lost ones.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
@@ -139,17 +144,18 @@
         &self.racks
     }
 
-    /// The accelerators of `key` that `view` counts, also on a kept worker.
+    /// The accelerators of worker `key` in `view`, also if the worker is reserved.
     pub fn mask(&self, view: View, key: WorkerKey) -> AcceleratorMask {
         view.mask(self.worker(key))
     }
 
-    /// The index of `view`; kept workers count nothing in it.
-    pub fn index_in(&self, view: View) -> &Index {
-        &self.views[view as usize]
+    /// The index of `view`, in which reserved workers count nothing.
+    pub fn view_index(&self, view: View) -> &Index {
+        &self.indexes[view as usize]
     }
 
-    /// An index made for one search, counting what `mask` says of each worker.
+    /// Builds an index for one search, of the accelerators that `mask` returns for
+    /// each worker.
     pub fn index_of(&self, mask: impl Fn(&Worker) -> AcceleratorMask) -> Index {
         let mut index = Index::with_bounds(self.workers.len(), self.racks.len());
         for (key, worker) in self.workers() {
--- a/src/core/fragmentation.rs
+++ b/src/core/fragmentation.rs
@@ -1,9 +1,10 @@
-//! How much of the free capacity the shapes in demand cannot use.
+//! Measures fragmentation: the share of free capacity that shapes in demand
+//! cannot use.
 //!
-//! For each shape in demand, the accelerators of as many gangs of the shape as
-//! fit into what is free, against as many as would fit if the free
-//! accelerators were all together. Fragmentation is one minus the mean of the
-//! ratios, each shape weighted by its accelerators in demand.
+//! For each shape, the number of gangs that fit into the free accelerators is
+//! divided by the number that would fit if all free accelerators were together.
+//! Fragmentation is one minus the mean of these ratios, weighted by the number of
+//! accelerators in demand for each shape.
 
 use super::{
     Adjacency,
@@ -13,14 +14,16 @@
 };
 use std::collections::HashMap;
 
-/// A run of racks may be this many times as long as the gang needs.
-pub(super) const MAX_SPAN_FACTOR: usize = 2;
+/// Maximum length of a range of neighbouring racks, as a multiple of the number of
+/// racks that the gang needs.
+pub(super) const MAX_RACK_SPAN_FACTOR: usize = 2;
 
-/// Share of what could be used that cannot, from 0 to 1; 0 without demand.
-/// `racks` holds the free accelerators of each worker, rack by rack.
+/// The fragmentation for `demand`, a list of shapes with their weights, from 0 to
+/// 1; 0 without demand. `racks` holds the free accelerators of each worker, by
+/// rack.
 pub fn fragmentation_of(racks: &[Vec<u32>], demand: &[(Shape, f64)]) -> f64 {
     let free: u32 = racks.iter().flatten().sum();
-    let (mut usable, mut whole) = (0.0, 0.0);
+    let (mut usable, mut total_weight) = (0.0, 0.0);
     for &(shape, weight) in demand {
         let size = shape.accelerators();
         let best = free / size.max(1) * size;
@@ -29,15 +32,16 @@
         }
         let fitting = (gangs_fitting(racks, &shape) * size).min(best);
         usable += weight * f64::from(fitting) / f64::from(best);
-        whole += weight;
+        total_weight += weight;
     }
-    if whole == 0.0 {
+    if total_weight == 0.0 {
         0.0
     } else {
-        1.0 - usable / whole
+        1.0 - usable / total_weight
     }
 }
 
+/// Number of gangs of `shape` that fit into the free accelerators.
 fn gangs_fitting(racks: &[Vec<u32>], shape: &Shape) -> u32 {
     let per_worker = u32::from(shape.accelerators_per_worker.max(1));
     let members_in = |rack: &Vec<u32>| -> u32 {
@@ -46,33 +50,38 @@
             _ => rack.iter().filter(|&&free| free >= per_worker).count() as u32,
         }
     };
-    let by_rack: Vec<u32> = racks.iter().map(members_in).collect();
+    let members_by_rack: Vec<u32> = racks.iter().map(members_in).collect();
     let workers = u32::from(shape.workers.max(1));
     match shape.adjacency {
-        _ if workers == 1 => by_rack.iter().sum(),
-        Adjacency::Anywhere => by_rack.iter().sum::<u32>() / workers,
-        Adjacency::Rack => by_rack.iter().map(|&members| members / workers).sum(),
+        _ if workers == 1 => members_by_rack.iter().sum(),
+        Adjacency::Anywhere => members_by_rack.iter().sum::<u32>() / workers,
+        Adjacency::Rack => members_by_rack
+            .iter()
+            .map(|&members| members / workers)
+            .sum(),
         Adjacency::NeighbouringRacks => {
             let rack_size = racks.iter().map(Vec::len).max().unwrap_or(1).max(1);
-            let longest = (workers as usize).div_ceil(rack_size) * MAX_SPAN_FACTOR;
-            runs_fitting(by_rack, workers, longest)
+            let max_racks = (workers as usize).div_ceil(rack_size) * MAX_RACK_SPAN_FACTOR;
+            gangs_in_rack_ranges(members_by_rack, workers, max_racks)
         }
     }
 }
 
-fn runs_fitting(mut left: Vec<u32>, workers: u32, longest: usize) -> u32 {
+/// Number of gangs of `workers` members that fit into ranges of at most `max_racks`
+/// racks, where `members_left` holds the number of members that fit into each rack.
+fn gangs_in_rack_ranges(mut members_left: Vec<u32>, workers: u32, max_racks: usize) -> u32 {
     let mut gangs = 0;
     let mut start = 0;
-    while start < left.len() {
-        let end = (start + longest).min(left.len());
-        if left[start..end].iter().sum::<u32>() < workers {
+    while start < members_left.len() {
+        let end = (start + max_racks).min(members_left.len());
+        if members_left[start..end].iter().sum::<u32>() < workers {
             start += 1;
             continue;
         }
         let mut wanted = workers;
-        for members in &mut left[start..end] {
-            let taken = wanted.min(*members);
-            *members -= taken;
+        for in_rack in &mut members_left[start..end] {
+            let taken = wanted.min(*in_rack);
+            *in_rack -= taken;
             wanted -= taken;
         }
         gangs += 1;
@@ -81,7 +90,8 @@
 }
 
 impl Cell {
-    /// Free accelerators of each worker that takes work, rack by rack.
+    /// The number of free accelerators of each worker, by rack; 0 for a worker that
+    /// accepts no jobs.
     pub fn free_by_rack(&self) -> Vec<Vec<u32>> {
         let free = |key| self.fleet.mask(View::Free, key).count_ones();
         let racks = self.fleet.racks().iter();
@@ -90,8 +100,8 @@
             .collect()
     }
 
-    /// Fragmentation of the free capacity for the shapes that are waited for
-    /// and those that are guaranteed.
+    /// The fragmentation of the free capacity for the shapes of waiting jobs and of
+    /// guarantees.
     pub fn fragmentation(&self) -> f64 {
         let mut demand: HashMap<Shape, f64> = HashMap::new();
         for (shape, jobs) in self.queue.demand() {
--- a/src/core/headroom.rs
+++ b/src/core/headroom.rs
@@ -1,8 +1,8 @@
-//! Accelerators left free for urgent work.
+//! Headroom: accelerators left free for urgent jobs.
 //!
-//! Urgent work that finds nothing free has to wait for the checkpoint of what
-//! it preempts. A few free accelerators spare it that wait; how many follows
-//! from how much urgent work there has been of late.
+//! An urgent job that finds no free accelerators has to wait for the checkpoints
+//! of the jobs that it preempts. A few free accelerators avoid this wait. Their
+//! number follows from the recent number of accelerators held by urgent jobs.
 
 use super::{
     Cell,
@@ -12,40 +12,42 @@
     placement::Plan, //
 };
 
-/// Weight of the latest look at the urgent work.
+/// Weight of the latest sample in the moving average of urgent accelerators.
 const LEARNING_RATE: f64 = 0.02;
-/// Free accelerators in standard deviations of the urgent work, when both of
-/// the users' measures weigh the same.
-const DEVIATIONS: f64 = 3.0;
-/// Never more than this share of the surplus.
+/// Headroom in standard deviations of the urgent accelerators, when completion and
+/// fragmentation have the same weight.
+const HEADROOM_DEVIATIONS: f64 = 3.0;
+/// Maximum headroom as a share of the accelerators outside every pledge.
 const MAX_SHARE: f64 = 0.04;
 
-/// What was learned of urgent work.
+/// The use of accelerators by urgent jobs and the headroom that follows from it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Headroom {
-    /// Accelerators that urgent work holds now.
+    /// Accelerators that urgent jobs hold now.
     pub urgent_accelerators: u32,
+    /// Moving average of `urgent_accelerators`.
     mean: f64,
-    /// Accelerators that other work leaves free.
+    /// Surplus accelerators that other jobs leave free.
     pub accelerators: u32,
 }
 
 impl Cell {
-    /// Looks at the urgent work once more.
+    /// Samples the urgent accelerators and updates the headroom.
     pub(super) fn learn_headroom(&mut self) {
         let now = f64::from(self.headroom.urgent_accelerators);
         self.headroom.mean += LEARNING_RATE * (now - self.headroom.mean);
-        // Arrivals are taken for independent: their variance is their mean.
+        // Arrivals are assumed to be independent, so their variance equals their mean.
         let deviation = self.headroom.mean.sqrt();
         let both = self.weights.completion + self.weights.fragmentation;
         let emphasis = 2.0 * self.weights.completion / both.max(f64::EPSILON);
-        let wanted = (emphasis * DEVIATIONS * deviation).ceil();
-        let most = (MAX_SHARE * f64::from(self.surplus_size)).floor();
-        self.headroom.accelerators = wanted.min(most) as u32;
+        let wanted = (emphasis * HEADROOM_DEVIATIONS * deviation).ceil();
+        let max_accelerators = (MAX_SHARE * f64::from(self.surplus_size)).floor();
+        self.headroom.accelerators = wanted.min(max_accelerators) as u32;
     }
 
-    /// Whether a place for work that has time would use up what is left free
-    /// for urgent work. Urgent work also finds what is free in kept workers.
+    /// Whether a placement for a job that is not time-critical would use up the
+    /// headroom. Free accelerators of reserved workers count as free here, since
+    /// urgent jobs may use them.
     pub(super) fn uses_headroom(&self, job: &Job, plan: &Plan) -> bool {
         if self.headroom.accelerators == 0 || self.is_pressed(job) {
             return false;
@@ -56,9 +58,12 @@
             .iter()
             .map(|&(key, mask)| (mask & self.fleet.mask(View::Surplus, key)).count_ones())
             .sum();
-        let kept = self.kept.iter().flat_map(|kept| &kept.workers);
-        let kept_free: u32 = kept.map(|&key| surplus_in(key)).sum();
-        let free = self.fleet.index_in(View::Surplus).total() + kept_free;
+        let reserved = self
+            .kept
+            .iter()
+            .flat_map(|reservation| &reservation.workers);
+        let reserved_free: u32 = reserved.map(|&key| surplus_in(key)).sum();
+        let free = self.fleet.view_index(View::Surplus).total() + reserved_free;
         taken > 0 && free < taken + self.headroom.accelerators
     }
 }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -1,9 +1,9 @@
-//! Evidence against workers and against jobs.
+//! Worker health: quarantine after failures, draining, loss and return.
 //!
-//! A worker that fails several different jobs in a row is quarantined; a job
-//! that fails on several different healthy workers is unable to run. Evidence
-//! counts once for each pair, so that one bad job cannot condemn a worker, nor
-//! one bad worker a job.
+//! A worker on which several different jobs in a row have failed is quarantined.
+//! A job that has failed on several different healthy workers is considered
+//! unable to run. Each pair of a worker and a job counts once, so that one faulty
+//! job cannot quarantine a worker and one faulty worker cannot end a job.
 
 use super::{
     Cell,
@@ -17,7 +17,8 @@
 };
 
 impl Cell {
-    /// Notes that `job` failed on `worker`.
+    /// Records that job `key` failed on `worker`, and quarantines the worker if too
+    /// many different jobs have failed there in a row.
     pub(super) fn blame(&mut self, key: JobKey, worker: WorkerKey) {
         let failed_jobs = self.fleet.update(worker, |worker| {
             if !worker.failed_jobs.contains(&key) {
@@ -35,13 +36,15 @@
         }
     }
 
+    /// Quarantines a worker, for twice as long with each failure above the limit (up
+    /// to 64 times), and removes its failures from the jobs that failed there.
     fn quarantine(&mut self, worker: WorkerKey) {
         if !self.fleet.worker(worker).takes_work() {
             return;
         }
-        let surplus = self.fleet.worker(worker).failed_jobs.len() - self.limits.quarantine_failures;
-        let until_ms = self.now_ms + (self.limits.quarantine_ms << surplus.min(6));
-        // The jobs that failed here failed because of the worker.
+        let excess = self.fleet.worker(worker).failed_jobs.len() - self.limits.quarantine_failures;
+        let until_ms = self.now_ms + (self.limits.quarantine_ms << excess.min(6));
+        // The failures here are attributed to the worker, not to the jobs.
         let failed = self.fleet.update(worker, |worker| {
             worker.health = WorkerHealth::Quarantined { until_ms };
             worker.failed_jobs.clone()
@@ -56,7 +59,8 @@
         self.move_pledges_off(worker);
     }
 
-    /// A job that cannot run anywhere says nothing about the workers it tried.
+    /// Removes the failures of a job from its workers. The failures of a job that
+    /// cannot run anywhere say nothing about the workers.
     pub(super) fn exonerate_workers(&mut self, key: JobKey) {
         let workers = match self.jobs.get(key) {
             Some(job) => job.failed_workers.clone(),
@@ -69,10 +73,11 @@
         }
     }
 
-    /// Puts workers on probation whose quarantine is over: one more failure
-    /// quarantines them again, for longer; one success clears them.
+    /// Ends quarantines that have expired. The workers are then on probation: one
+    /// more failure quarantines them again, for longer, and one success clears
+    /// their failures.
     pub(super) fn end_quarantines(&mut self) {
-        let over: Vec<WorkerKey> = self
+        let expired: Vec<WorkerKey> = self
             .fleet
             .workers()
             .filter(|(_, worker)| match worker.health {
@@ -81,11 +86,12 @@
             })
             .map(|(key, _)| key)
             .collect();
-        for worker in over {
+        for worker in expired {
             self.set_health(worker, WorkerHealth::Healthy);
         }
     }
 
+    /// Sets a worker's health and moves or places pledges accordingly.
     fn set_health(&mut self, worker: WorkerKey, health: WorkerHealth) {
         if self.fleet.worker(worker).health == health {
             return;
@@ -99,6 +105,7 @@
         self.topology_changed();
     }
 
+    /// Marks a worker as draining, unless it is lost.
     pub(super) fn worker_leaving(&mut self, name: &str) {
         let Some(worker) = self.fleet.find(name) else {
             return;
@@ -108,7 +115,8 @@
         }
     }
 
-    /// Ends every gang with a member on `worker`, whose lease has ended.
+    /// Marks the worker called `name`, whose lease has expired, as lost and ends
+    /// every gang with a member on it.
     pub(super) fn worker_lost(&mut self, name: &str) {
         let Some(worker) = self.fleet.find(name) else {
             return;
@@ -117,8 +125,8 @@
         self.end_members_on(worker);
     }
 
-    /// Ends every gang with a member on a worker that has restarted and has
-    /// forgotten its tasks; the worker itself goes on.
+    /// Ends every gang with a member on a worker that has restarted and lost its
+    /// tasks. The worker remains usable.
     pub(super) fn worker_restarted(&mut self, name: &str) {
         if let Some(worker) = self.fleet.find(name) {
             self.end_members_on(worker);
@@ -126,6 +134,8 @@
         }
     }
 
+    /// Ends the attempts of the jobs that hold or have claimed accelerators on a
+    /// worker.
     fn end_members_on(&mut self, worker: WorkerKey) {
         let all = self.fleet.worker(worker).all;
         let mut affected = self.fleet.worker(worker).holders_of(all);
@@ -136,10 +146,10 @@
         affected.dedup();
         for key in affected {
             let state = self.jobs.get(key).map(|job| job.state);
-            // What has no attempt yet has lost nothing; it is placed again
-            // only if the worker takes no more work.
+            // A gang that is still claiming accelerators has no attempt to lose. It
+            // is placed again only if the worker accepts no more jobs.
             if state != Some(JobState::Claiming) {
-                self.member_gone_as_it_was(key, worker);
+                self.remove_lost_member(key, worker);
                 self.after_loss(key, RetryReason::WorkerLost);
             } else if !self.fleet.worker(worker).takes_work() {
                 self.fail_gang(key, RetryReason::WorkerLost);
@@ -147,15 +157,19 @@
         }
     }
 
-    fn member_gone_as_it_was(&mut self, key: JobKey, worker: WorkerKey) {
+    /// Marks the member of a job on `worker` as gone, and keeps whether its task may
+    /// have begun.
+    fn remove_lost_member(&mut self, key: JobKey, worker: WorkerKey) {
         let Some(member) = self.jobs.get_mut(key).and_then(|job| job.member_on(worker)) else {
             return;
         };
-        // What a new owner has not yet learned may have begun.
+        // A new owner that is still inspecting the member does not know whether the
+        // task has begun, so assume that it has.
         let begun = member.may_have_begun || member.state == MemberState::Inspecting;
         self.member_gone(key, worker, begun);
     }
 
+    /// Marks a lost or draining worker as healthy again.
     pub(super) fn worker_returned(&mut self, name: &str) {
         if let Some(worker) = self.fleet.find(name) {
             let health = self.fleet.worker(worker).health;
--- a/src/core/index.rs
+++ b/src/core/index.rs
@@ -1,4 +1,4 @@
-//! Workers by the number of accelerators that a search may use.
+//! An index of workers by their number of usable accelerators.
 
 use super::{
     BitSet,
@@ -7,14 +7,15 @@
     worker::MAX_ACCELERATORS_PER_WORKER, //
 };
 
+/// Number of possible counts of a worker, from zero to all its accelerators.
 const COUNTS: usize = MAX_ACCELERATORS_PER_WORKER + 1;
 
-/// Counts of usable accelerators, by worker and by rack.
+/// Counts of usable accelerators by worker and by rack.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     counts: Vec<u8>,
     by_count: Vec<BitSet>,
-    rack_at_least: Vec<Vec<u16>>,
+    workers_by_rack: Vec<Vec<u16>>,
     total: u32,
 }
 
@@ -24,7 +25,7 @@
         Self {
             counts: vec![0; workers],
             by_count: vec![BitSet::with_bound(workers); COUNTS],
-            rack_at_least: vec![vec![0; racks]; COUNTS],
+            workers_by_rack: vec![vec![0; racks]; COUNTS],
             total: 0,
         }
     }
@@ -39,12 +40,12 @@
         self.by_count[count].insert(worker.index());
         self.counts[worker.index()] = count as u8;
         self.total = self.total + count as u32 - before as u32;
-        for least in before.min(count) + 1..=before.max(count) {
-            let reach = &mut self.rack_at_least[least][rack.index()];
+        for min_count in before.min(count) + 1..=before.max(count) {
+            let rack_workers = &mut self.workers_by_rack[min_count][rack.index()];
             if count > before {
-                *reach += 1;
+                *rack_workers += 1;
             } else {
-                *reach -= 1;
+                *rack_workers -= 1;
             }
         }
     }
@@ -64,15 +65,15 @@
         self.by_count[count].iter().map(|at| WorkerKey(at as u32))
     }
 
-    /// The same from the last worker down.
-    pub fn with_count_down(&self, count: usize) -> impl Iterator<Item = WorkerKey> + '_ {
+    /// Workers whose count is exactly `count`, from the last worker to the first.
+    pub fn with_count_descending(&self, count: usize) -> impl Iterator<Item = WorkerKey> + '_ {
         self.by_count[count]
-            .iter_down()
+            .iter_descending()
             .map(|at| WorkerKey(at as u32))
     }
 
-    /// For each rack the number of workers that reach `least`.
-    pub fn rack_at_least(&self, least: u16) -> &[u16] {
-        &self.rack_at_least[usize::from(least).min(COUNTS - 1)]
+    /// For each rack, the number of workers whose count is at least `min_count`.
+    pub fn workers_by_rack(&self, min_count: u16) -> &[u16] {
+        &self.workers_by_rack[usize::from(min_count).min(COUNTS - 1)]
     }
 }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,4 +1,10 @@
-//! Choosing where a gang goes, by one score with two weights.
+//! Chooses the placement of a job.
+//!
+//! Free accelerators come first, then accelerators reserved for a waiting gang
+//! that has time, then accelerators whose holders are preempted. Free placements
+//! are compared by one cost, the sum of a preemption cost and a fragmentation cost
+//! with the configured weights, and of a penalty for splitting the account's own
+//! guaranteed shape.
 
 use super::{
     Cell,
@@ -15,32 +21,34 @@
     region::End,
     worker::AcceleratorMask,
     worker::bits,
-    worker::lowest, //
+    worker::lowest_bits, //
 };
 
-/// What it costs to stand where another account may call its guarantee back.
+/// Cost of a placement on accelerators pledged to other accounts, which may
+/// preempt the job.
 const PREEMPTION_PENALTY: f64 = 0.2;
-/// What it costs the account to break its own guaranteed shape for something
-/// smaller: the shape cannot be had back until that has ended.
+/// Cost of placing a smaller job in the account's own guaranteed shape: the shape
+/// cannot be used as a whole until that job has ended.
 const OWN_PLEDGE_PENALTY: f64 = 2.0;
-/// What it costs to take one accelerator out of a wholly free worker.
-const BROKEN_WORKER_PENALTY: f64 = 1.0;
+/// Cost of each accelerator left over on a worker that was wholly free, divided by
+/// the number of accelerators placed.
+const SPLIT_WORKER_PENALTY: f64 = 1.0;
 
-/// A place for a gang.
+/// A placement for a job and the jobs to stop for it.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
-    /// Workers with the accelerators to take.
+    /// The workers and the accelerators to use on each.
     pub members: Vec<(WorkerKey, AcceleratorMask)>,
-    /// Running jobs that have to leave first.
+    /// Running jobs that have to release accelerators first.
     pub victims: Vec<JobKey>,
-    /// Why they leave.
+    /// Why the victims are stopped.
     pub stop: StopKind,
-    /// The account's own pledge in which the place lies.
+    /// The account's own pledge that contains the accelerators, if any.
     pub pledge: Option<PledgeKey>,
 }
 
 impl Plan {
-    /// A place that is free now.
+    /// A placement on free accelerators.
     pub fn free(members: Vec<(WorkerKey, AcceleratorMask)>) -> Self {
         Self {
             members,
@@ -52,16 +60,18 @@
 }
 
 impl Cell {
-    /// The best place for `job` right now, if there is one: free, or kept for a
-    /// gang that will not miss it, or held by work that has to give way.
+    /// The best placement for `job` at present, if there is one: on free
+    /// accelerators, on accelerators reserved for a gang that does not need them
+    /// yet, or on accelerators whose holders can be preempted.
     pub(super) fn find_plan(&self, key: Option<JobKey>, job: &Job) -> Option<Plan> {
         self.best_free_plan(job)
             .or_else(|| self.backfill_plan(key, job))
             .or_else(|| self.reclaiming_plan(job))
     }
 
+    /// The cheapest placement on free accelerators.
     fn best_free_plan(&self, job: &Job) -> Option<Plan> {
-        let own = match self.class(job.class).reclaims {
+        let own_pledge = match self.class(job.class).reclaims {
             true => self.pledge_plan(job, false),
             false => None,
         };
@@ -70,7 +80,7 @@
             true => self.free_plan(job, View::Free),
             false => None,
         };
-        [own, surplus, lent]
+        [own_pledge, surplus, lent]
             .into_iter()
             .flatten()
             .map(|plan| (self.cost(job, &plan), plan))
@@ -78,9 +88,9 @@
             .map(|(_, plan)| plan)
     }
 
-    /// A place in free accelerators that `view` shows.
+    /// A placement on the free accelerators in `view`.
     fn free_plan(&self, job: &Job, view: View) -> Option<Plan> {
-        let index = self.fleet.index_in(view);
+        let index = self.fleet.view_index(view);
         let end = End::of(self.may_yield(job));
         let workers = region::find(&self.fleet, index, &job.shape, end)?;
         let per_worker = job.shape.accelerators_per_worker;
@@ -97,22 +107,27 @@
         Some(Plan::free(members))
     }
 
-    /// What a place costs by the two measures, each scaled to about one.
+    /// The cost of a placement. The weighted measures are each scaled to about one.
     fn cost(&self, job: &Job, plan: &Plan) -> f64 {
         let weights = self.weights;
         weights.completion * self.preemption_risk(job, plan)
-            + weights.fragmentation * breakage(&self.fleet, &plan.members)
-            + self.own_pledge_breakage(job, plan)
+            + weights.fragmentation * fragmentation_cost(&self.fleet, &plan.members)
+            + self.own_pledge_penalty(job, plan)
     }
 
-    fn own_pledge_breakage(&self, job: &Job, plan: &Plan) -> f64 {
-        let broken = plan
+    /// The penalty for placing a smaller job in the account's own pledge.
+    fn own_pledge_penalty(&self, job: &Job, plan: &Plan) -> f64 {
+        let splits_shape = plan
             .pledge
             .is_some_and(|key| self.pledges[key.index()].shape != job.shape);
-        if broken { OWN_PLEDGE_PENALTY } else { 0.0 }
+        if splits_shape {
+            OWN_PLEDGE_PENALTY
+        } else {
+            0.0
+        }
     }
 
-    /// Share of the place that another account may call back.
+    /// The cost of the share of accelerators that other accounts may reclaim.
     fn preemption_risk(&self, job: &Job, plan: &Plan) -> f64 {
         let lent: u32 = plan
             .members
@@ -131,33 +146,34 @@
     }
 }
 
-/// Accelerators of wholly free workers that the place leaves as remnants, for
-/// each accelerator placed.
-fn breakage(fleet: &Fleet, members: &[(WorkerKey, AcceleratorMask)]) -> f64 {
-    let (mut broken, mut placed) = (0, 0);
+/// The cost of the accelerators that a placement leaves over on wholly free
+/// workers, per accelerator placed.
+fn fragmentation_cost(fleet: &Fleet, members: &[(WorkerKey, AcceleratorMask)]) -> f64 {
+    let (mut left_over, mut placed) = (0, 0);
     for &(key, mask) in members {
         let worker = fleet.worker(key);
         placed += mask.count_ones();
         if worker.free == worker.all && mask != worker.all {
-            broken += (worker.all & !mask).count_ones();
+            left_over += (worker.all & !mask).count_ones();
         }
     }
-    BROKEN_WORKER_PENALTY * f64::from(broken) / f64::from(placed.max(1))
+    SPLIT_WORKER_PENALTY * f64::from(left_over) / f64::from(placed.max(1))
 }
 
-/// `count` accelerators of `mask`, those outside every pledge first.
+/// The first `count` accelerators of `mask`, those outside every pledge first.
 pub(super) fn outside_pledges_first(
     worker: &Worker,
     mask: AcceleratorMask,
     count: u16,
 ) -> AcceleratorMask {
-    let outside = lowest(mask & !worker.pledged, count);
+    let outside = lowest_bits(mask & !worker.pledged, count);
     let rest = count - outside.count_ones() as u16;
-    outside | lowest(mask & worker.pledged, rest)
+    outside | lowest_bits(mask & worker.pledged, rest)
 }
 
-/// Where a search over an ad hoc index may take accelerators.
-pub(super) fn plan_from(
+/// A placement for `job` by `index`, on the accelerators that `usable` returns for
+/// each worker.
+pub(super) fn plan_from_index(
     fleet: &Fleet,
     index: &Index,
     job: &Job,
@@ -168,7 +184,7 @@
         .into_iter()
         .map(|key| {
             let mask = usable(fleet.worker(key));
-            (key, lowest(mask, job.shape.accelerators_per_worker))
+            (key, lowest_bits(mask, job.shape.accelerators_per_worker))
         })
         .collect();
     Some(Plan::free(members))
--- a/src/core/pledge.rs
+++ b/src/core/pledge.rs
@@ -1,9 +1,14 @@
-//! The witness: a concrete place for every guaranteed shape.
+//! Assigns accelerators to every guaranteed shape.
 //!
-//! Each guaranteed shape is pledged to particular accelerators. Only work of
-//! the account itself, or work that can be taken back, is ever placed there.
-//! So at every moment all guarantees can be had back together, within the
-//! longest checkpoint grace of the work that fills them.
+//! Each instance of a guaranteed shape is a pledge of particular accelerators to
+//! an account. A new job is placed on pledged accelerators only if it belongs to
+//! that account or is reclaimable. All guarantees can therefore be met at the
+//! same time, within the longest checkpoint grace period of the jobs that hold
+//! the accelerators.
+//!
+//! Exceptions are reported as shortfalls: no place was found for a pledge, one of
+//! its workers accepts no jobs, or a job of another account that is not reclaimable
+//! has held its accelerators since before they were pledged.
 
 use super::{
     AccountKey,
@@ -17,7 +22,7 @@
     region,
     worker::AcceleratorMask,
     worker::bits,
-    worker::lowest, //
+    worker::lowest_bits, //
 };
 use crate::config::Declaration;
 
@@ -28,23 +33,24 @@
     pub account: AccountKey,
     /// The shape.
     pub shape: Shape,
-    /// Its accelerators; empty while no place is found.
+    /// The pledged accelerators by worker; empty while the pledge has no place.
     pub members: Vec<(WorkerKey, AcceleratorMask)>,
-    /// Whether the guarantee was withdrawn.
+    /// Whether the guarantee was withdrawn; the entry may then be reused.
     pub withdrawn: bool,
 }
 
-/// Guaranteed shapes of one account that cannot be had back now.
+/// Guaranteed shapes that one account could not use now.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Shortfall {
     /// The account's name.
     pub account: String,
-    /// How many shapes.
+    /// Number of such shapes.
     pub missing: u16,
 }
 
-/// Checks that an empty `fleet` can hold all guarantees of `data_centre`
-/// together; pure, so that an entry can refuse a patch without the owner.
+/// Returns the guarantees of `data_centre` that `fleet` could not hold together
+/// even if it were idle. Needs no other state, so that an API daemon can refuse a
+/// patch without asking the owner.
 pub fn nominal_shortfalls(
     fleet: &Fleet,
     declaration: &Declaration,
@@ -63,8 +69,8 @@
     wanted.sort_by_key(|(_, shape)| std::cmp::Reverse((shape.adjacency, shape.accelerators())));
     let mut missing: Vec<Shortfall> = Vec::new();
     for (account, shape) in wanted {
-        let open = |worker: &Worker| worker.all & !worker.pledged;
-        match find_place(&fleet, &shape, open) {
+        let unpledged = |worker: &Worker| worker.all & !worker.pledged;
+        match find_place(&fleet, &shape, unpledged) {
             Some(members) => {
                 for (worker, mask) in members {
                     fleet.update(worker, |worker| {
@@ -84,18 +90,19 @@
     missing
 }
 
+/// Finds accelerators for `shape` among those that `usable` returns for each worker.
 fn find_place(
     fleet: &Fleet,
     shape: &Shape,
-    open: impl Fn(&Worker) -> AcceleratorMask,
+    usable: impl Fn(&Worker) -> AcceleratorMask,
 ) -> Option<Vec<(WorkerKey, AcceleratorMask)>> {
-    let index = fleet.index_of(&open);
+    let index = fleet.index_of(&usable);
     let workers = region::find(fleet, &index, shape, region::End::Last)?;
     Some(
         workers
             .into_iter()
             .map(|key| {
-                let mask = lowest(open(fleet.worker(key)), shape.accelerators_per_worker);
+                let mask = lowest_bits(usable(fleet.worker(key)), shape.accelerators_per_worker);
                 (key, mask)
             })
             .collect(),
@@ -103,7 +110,7 @@
 }
 
 impl Cell {
-    /// Brings the pledges in line with the declared guarantees.
+    /// Adds and withdraws pledges so that they match the declared guarantees.
     pub(super) fn declare_pledges(&mut self, declaration: &Declaration) {
         let wanted: Vec<(AccountKey, Shape, u16)> = declaration
             .guarantees_in(&self.data_centre)
@@ -149,7 +156,8 @@
         self.pledges[key.index()].withdrawn = true;
     }
 
-    /// Takes a pledge off its accelerators; work in them goes on as surplus.
+    /// Removes a pledge from its accelerators. Jobs inside it continue and are
+    /// counted as users of surplus capacity.
     fn clear_pledge(&mut self, key: PledgeKey) {
         let members = std::mem::take(&mut self.pledges[key.index()].members);
         for (worker, mask) in members {
@@ -174,7 +182,7 @@
             .collect()
     }
 
-    /// Moves the pledges off a worker that takes no more work.
+    /// Moves the pledges to other workers from one that accepts no more jobs.
     pub(super) fn move_pledges_off(&mut self, worker: WorkerKey) {
         let on_worker: Vec<PledgeKey> = self
             .pledges
@@ -189,18 +197,18 @@
         self.place_pledges();
     }
 
-    /// Finds a place for each pledge without one, the hardest first, and
-    /// reports the accounts whose guarantee falls short.
+    /// Places each pledge that has no place, those with the strictest adjacency and
+    /// then the most accelerators first, and reports shortfalls.
     pub(super) fn place_pledges(&mut self) {
-        let mut without: Vec<PledgeKey> = (0..self.pledges.len())
+        let mut unplaced: Vec<PledgeKey> = (0..self.pledges.len())
             .filter(|&at| !self.pledges[at].withdrawn && self.pledges[at].members.is_empty())
             .map(|at| PledgeKey(at as u16))
             .collect();
-        without.sort_by_key(|key| {
+        unplaced.sort_by_key(|key| {
             let shape = self.pledges[key.index()].shape;
             std::cmp::Reverse((shape.adjacency, shape.accelerators()))
         });
-        for key in without {
+        for key in unplaced {
             self.place_pledge(key);
         }
         self.report_shortfalls();
@@ -208,13 +216,14 @@
 
     fn place_pledge(&mut self, key: PledgeKey) {
         let Pledge { account, shape, .. } = self.pledges[key.index()];
-        let open = |worker: &Worker| worker.usable_by(false);
-        let unobstructed = |worker: &Worker| open(worker) & !self.obstacles(worker, account);
-        // Work that cannot be taken back and is not the account's own stands in
-        // the way until it ends. A place without such work is preferred; else
-        // the pledge is made all the same, so that no more of it comes in.
+        let unpledged = |worker: &Worker| worker.usable_by(false);
+        let unobstructed = |worker: &Worker| unpledged(worker) & !self.obstacles(worker, account);
+        // Jobs of other accounts that are not reclaimable block the pledge until
+        // they end. Accelerators without such jobs are preferred. If there are too
+        // few, blocked ones are pledged too, so that no further such jobs are
+        // placed there.
         let Some(members) = find_place(&self.fleet, &shape, unobstructed)
-            .or_else(|| find_place(&self.fleet, &shape, open))
+            .or_else(|| find_place(&self.fleet, &shape, unpledged))
         else {
             return;
         };
@@ -226,9 +235,10 @@
         self.topology_changed();
     }
 
-    /// Accelerators held by work of other accounts that cannot be taken back.
+    /// Accelerators held by jobs of accounts other than `account` that are not
+    /// reclaimable.
     fn obstacles(&self, worker: &Worker, account: AccountKey) -> AcceleratorMask {
-        bits(worker.all & !worker.free & !worker.yielding)
+        bits(worker.all & !worker.free & !worker.reclaimable)
             .filter(|&bit| {
                 let holder = worker.holder(bit).and_then(|key| self.jobs.get(key));
                 holder.is_some_and(|job| job.account != account)
@@ -236,16 +246,17 @@
             .fold(0, |mask, bit| mask | 1 << bit)
     }
 
-    /// Guaranteed shapes that cannot be had back now, by account.
+    /// Guaranteed shapes that could not be used now, even by preempting reclaimable
+    /// jobs, by account.
     pub fn shortfalls(&self) -> Vec<Shortfall> {
         let mut missing: Vec<Shortfall> = Vec::new();
         for pledge in self.pledges.iter().filter(|pledge| !pledge.withdrawn) {
-            let whole = !pledge.members.is_empty()
+            let is_met = !pledge.members.is_empty()
                 && pledge.members.iter().all(|&(key, mask)| {
                     let worker = self.fleet.worker(key);
                     worker.takes_work() && self.obstacles(worker, pledge.account) & mask == 0
                 });
-            if whole {
+            if is_met {
                 continue;
             }
             let account = &self.accounts[pledge.account.index()].declaration.name;
@@ -274,7 +285,7 @@
         self.reported_shortfalls = shortfalls;
     }
 
-    /// All pledges that stand.
+    /// All pledges that are not withdrawn.
     pub fn pledges(&self) -> impl Iterator<Item = (PledgeKey, &Pledge)> {
         self.pledges
             .iter()
--- a/src/core/reclaim.rs
+++ b/src/core/reclaim.rs
@@ -1,4 +1,8 @@
-//! Taking accelerators back from work that can wait.
+//! Finds placements that preempt reclaimable jobs.
+//!
+//! A reclaimable job can be preempted after a checkpoint. It is preempted for a
+//! job of the account whose guarantee it occupies, or, outside all guarantees,
+//! for an urgent job or one that would otherwise miss its deadline.
 
 use super::{
     AccountKey,
@@ -18,24 +22,27 @@
     region,
     worker::AcceleratorMask,
     worker::bits,
-    worker::lowest, //
+    worker::lowest_bits, //
 };
 
-/// Work of the account itself that is smaller than the guaranteed shape uses it
-/// only if it is expected to be gone again within this time; else the account
-/// could not have its shape back when it asks.
-const OWN_USE_MS: u64 = 60_000;
-/// A preemption costs about this much time; work that has not that much to
-/// spare would miss its class and is spared if anything else can be taken.
-const ENDANGERED_MS: u64 = 120_000;
-const ENDANGERED_WEIGHT: u64 = 50;
-/// Workers compared when a single task looks for the cheapest victims.
+/// A job that is smaller than its account's guaranteed shape runs in the pledge
+/// only if it is expected to end within this time. A longer job would keep the
+/// account from using the full shape when it needs it.
+const MAX_SMALLER_JOB_MS: u64 = 60_000;
+/// Approximate delay that a preemption causes. A job with less slack would miss
+/// its deadline and is preempted only if nothing cheaper can be.
+const PREEMPTION_DELAY_MS: u64 = 120_000;
+/// Factor on the cost of preempting a job that would then miss its deadline.
+const MISSED_DEADLINE_WEIGHT: u64 = 50;
+/// Maximum number of workers compared to find the cheapest victims of a
+/// single-worker job.
 const COMPARED_WORKERS: usize = 32;
 
 impl Cell {
-    /// A place that preempted work has to leave first: the account's own
-    /// guarantee, or for urgent work, and for what would else miss its class,
-    /// anything that can be taken back outside the guarantees of others.
+    /// A placement on accelerators that preempted jobs have to release first. They
+    /// are in the account's own guarantee or, for a job that is urgent or would
+    /// otherwise miss its deadline, held by any reclaimable job outside all
+    /// guarantees.
     pub(super) fn reclaiming_plan(&self, job: &Job) -> Option<Plan> {
         let class = self.class(job.class);
         let own = match class.reclaims {
@@ -43,28 +50,28 @@
             false => None,
         };
         own.or_else(|| match self.is_pressed(job) {
-            true => self.yieldable_plan(job),
+            true => self.surplus_preemption_plan(job),
             false => None,
         })
     }
 
-    /// A place in one of the account's own pledges, if `reclaiming` also in
-    /// accelerators of it that other work has to leave.
+    /// A placement in one of the account's own pledges. With `reclaiming`, it may
+    /// include accelerators that preempted jobs have to release first.
     pub(super) fn pledge_plan(&self, job: &Job, reclaiming: bool) -> Option<Plan> {
-        let short = self.remaining_ms(job) <= OWN_USE_MS;
+        let short = self.remaining_ms(job) <= MAX_SMALLER_JOB_MS;
         self.pledges()
             .filter(|(_, pledge)| {
                 pledge.account == job.account
                     && job.shape.fits_within(&pledge.shape)
                     && (job.shape == pledge.shape
-                        || short && !self.waits_for_shape(job.account, pledge.shape))
+                        || short && !self.has_waiting_job_of_shape(job.account, pledge.shape))
             })
             .filter_map(|(key, _)| self.plan_in_pledge(job, key, reclaiming))
             .min_by_key(|plan| plan.victims.len())
     }
 
-    /// A place for a single task in accelerators of the account's own running
-    /// work that can be taken back, outside the guarantees of others.
+    /// A placement for a single-worker job on accelerators that a running
+    /// reclaimable job of the same account holds outside all guarantees.
     pub(super) fn own_work_plan(&self, job: &Job) -> Option<Plan> {
         if job.shape.workers != 1 {
             return None;
@@ -76,11 +83,11 @@
         own.filter_map(|(key, holder)| {
             let (worker, mask) = holder.members.iter().find_map(|member| {
                 let worker = self.fleet.worker(member.worker);
-                let open = member.held & !worker.claimed & !worker.pledged;
-                let enough = worker.takes_work() && open.count_ones() >= u32::from(count);
-                enough.then(|| (member.worker, lowest(open, count)))
+                let usable = member.held & !worker.claimed & !worker.pledged;
+                let enough = worker.takes_work() && usable.count_ones() >= u32::from(count);
+                enough.then(|| (member.worker, lowest_bits(usable, count)))
             })?;
-            Some((self.loss(holder), key, worker, mask))
+            Some((self.preemption_cost(holder), key, worker, mask))
         })
         .min()
         .map(|(_, victim, worker, mask)| Plan {
@@ -91,9 +98,10 @@
         })
     }
 
-    /// Whether a job of the account waits for its guaranteed shape. Short work
-    /// then no longer comes in, or the shape would never be free as a whole.
-    fn waits_for_shape(&self, account: AccountKey, shape: Shape) -> bool {
+    /// Whether a job of the account with the guaranteed shape is waiting. No
+    /// smaller job is then placed in the pledge, or the full shape might never be
+    /// free.
+    fn has_waiting_job_of_shape(&self, account: AccountKey, shape: Shape) -> bool {
         (0..self.classes.len() as u8).any(|class| {
             [false, true].into_iter().any(|yields| {
                 self.queue.has_group(&GroupKey {
@@ -106,6 +114,7 @@
         })
     }
 
+    /// A placement in one pledge that takes as few held accelerators as possible.
     fn plan_in_pledge(&self, job: &Job, pledge: PledgeKey, reclaiming: bool) -> Option<Plan> {
         let mut members: Vec<(u32, WorkerKey, AcceleratorMask)> = self.pledges[pledge.index()]
             .members
@@ -115,7 +124,7 @@
                 if !worker.takes_work() {
                     return None;
                 }
-                let mask = self.cheapest(job, worker, pledged, reclaiming)?;
+                let mask = self.cheapest_accelerators(job, worker, pledged, reclaiming)?;
                 Some(((mask & !worker.free).count_ones(), key, mask))
             })
             .collect();
@@ -125,7 +134,7 @@
         }
         members.truncate(usize::from(job.shape.workers));
         Some(
-            self.with_victims(
+            self.plan_with_victims(
                 members
                     .into_iter()
                     .map(|(_, key, mask)| (key, mask))
@@ -135,9 +144,10 @@
         )
     }
 
-    /// `count` accelerators of `allowed`, free ones first, then those of the
-    /// holders that lose the least by leaving.
-    fn cheapest(
+    /// The accelerators of `allowed` that `job` needs on one worker: free ones
+    /// first, then, with `reclaiming`, those whose holders cost the least to
+    /// preempt.
+    fn cheapest_accelerators(
         &self,
         job: &Job,
         worker: &Worker,
@@ -146,16 +156,16 @@
     ) -> Option<AcceleratorMask> {
         let count = job.shape.accelerators_per_worker;
         let free = allowed & worker.free;
-        let yielding = match reclaiming {
-            true => allowed & worker.yielding & !worker.claimed,
+        let reclaimable = match reclaiming {
+            true => allowed & worker.reclaimable & !worker.claimed,
             false => 0,
         };
-        let mut candidates: Vec<(u64, usize)> = bits(free | yielding)
+        let mut candidates: Vec<(u64, usize)> = bits(free | reclaimable)
             .filter_map(|bit| {
                 let holder = worker.holder(bit).and_then(|key| self.jobs.get(key));
-                let gives_way =
-                    holder.is_none_or(|holder| self.gives_way(holder, job, worker, bit));
-                gives_way.then(|| (holder.map_or(0, |holder| self.loss(holder)), bit))
+                let available =
+                    holder.is_none_or(|holder| self.may_be_preempted(holder, job, worker, bit));
+                available.then(|| (holder.map_or(0, |holder| self.preemption_cost(holder)), bit))
             })
             .collect();
         if candidates.len() < usize::from(count) {
@@ -166,40 +176,43 @@
         Some(chosen.fold(0, |mask, &(_, bit)| mask | 1 << bit))
     }
 
-    /// Whether `holder` leaves its accelerator to `job`: always to the account
-    /// whose guarantee it stands in and to urgent work, else only to what has
-    /// to be answered before it. Two jobs can thus never drive each other out
-    /// in turn, which would keep a pass from ending.
+    /// Whether `holder` may be preempted for `job` on accelerator `bit`. A job in the
+    /// guarantee of its own account may preempt jobs of other accounts there, and
+    /// an urgent job may preempt any; any other job may preempt only a holder with
+    /// a later deadline. Two jobs can therefore never preempt each other in turn,
+    /// which would keep a scheduling pass from ending.
     ///
-    /// The account's own work that stands there as if lent, perhaps across two
-    /// pledges, gives way to the guaranteed shape as well: what takes its place
-    /// is inside the guarantee and gives way to nobody.
-    fn gives_way(&self, holder: &Job, job: &Job, worker: &Worker, bit: usize) -> bool {
+    /// A job of the same account that uses the pledge as lent capacity, perhaps
+    /// across two pledges, may also be preempted by a job of the guaranteed shape:
+    /// its successor runs inside the guarantee, where it is not reclaimable.
+    fn may_be_preempted(&self, holder: &Job, job: &Job, worker: &Worker, bit: usize) -> bool {
         let pledge = worker.pledge(bit).map(|key| &self.pledges[key.index()]);
         let own = pledge.is_some_and(|pledge| {
             let foreign = holder.account != job.account;
             pledge.account == job.account && (foreign || pledge.shape == job.shape)
         });
-        let before = job.deadline_ms < holder.deadline_ms;
-        own || self.class(job.class).urgent || before
+        let due_earlier = job.deadline_ms < holder.deadline_ms;
+        own || self.class(job.class).urgent || due_earlier
     }
 
-    /// What preempting `job` costs: nothing more if it is leaving anyway, else
-    /// its size and how often it was preempted before.
-    fn loss(&self, job: &Job) -> u64 {
+    /// The relative cost of preempting `job`. It is lowest if the job is stopping
+    /// already; otherwise it grows with the job's size and with the number of its
+    /// earlier preemptions, and is higher if the job would miss its deadline.
+    fn preemption_cost(&self, job: &Job) -> u64 {
         if matches!(job.state, JobState::Stopping(_)) {
             return 1;
         }
-        let end_ms = self.now_ms + self.remaining_ms(job) + ENDANGERED_MS;
+        let end_ms = self.now_ms + self.remaining_ms(job) + PREEMPTION_DELAY_MS;
         let weight = match end_ms > job.deadline_ms {
-            true => ENDANGERED_WEIGHT,
+            true => MISSED_DEADLINE_WEIGHT,
             false => 1,
         };
         2 + weight * u64::from(job.shape.accelerators()) * u64::from(1 + job.preemptions)
     }
 
-    fn yieldable_plan(&self, job: &Job) -> Option<Plan> {
-        let index = self.fleet.index_in(View::Yieldable);
+    /// A placement outside all guarantees that preempts reclaimable jobs.
+    fn surplus_preemption_plan(&self, job: &Job) -> Option<Plan> {
+        let index = self.fleet.view_index(View::Reclaimable);
         let workers = match job.shape.workers {
             1 => vec![self.cheapest_worker(job)?],
             _ => region::find(&self.fleet, index, &job.shape, region::End::Last)?,
@@ -208,16 +221,18 @@
             .into_iter()
             .map(|key| {
                 let worker = self.fleet.worker(key);
-                let open = View::Yieldable.mask(worker);
-                let mask = self.cheapest(job, worker, open, true)?;
+                let usable = View::Reclaimable.mask(worker);
+                let mask = self.cheapest_accelerators(job, worker, usable, true)?;
                 Some((key, mask))
             })
             .collect::<Option<Vec<_>>>()?;
-        Some(self.with_victims(members, None))
+        Some(self.plan_with_victims(members, None))
     }
 
+    /// The worker on which a single-worker job costs the least to place, victims
+    /// included.
     fn cheapest_worker(&self, job: &Job) -> Option<WorkerKey> {
-        let index = self.fleet.index_in(View::Yieldable);
+        let index = self.fleet.view_index(View::Reclaimable);
         let counts =
             usize::from(job.shape.accelerators_per_worker)..=super::MAX_ACCELERATORS_PER_WORKER;
         counts
@@ -225,17 +240,23 @@
             .take(COMPARED_WORKERS)
             .filter_map(|key| {
                 let worker = self.fleet.worker(key);
-                let open = View::Yieldable.mask(worker);
-                let mask = self.cheapest(job, worker, open, true)?;
+                let usable = View::Reclaimable.mask(worker);
+                let mask = self.cheapest_accelerators(job, worker, usable, true)?;
                 let victims = worker.holders_of(mask);
-                let losses = victims.iter().filter_map(|&key| self.jobs.get(key));
-                Some((losses.map(|job| self.loss(job)).sum::<u64>(), key))
+                let victim_jobs = victims.iter().filter_map(|&key| self.jobs.get(key));
+                Some((
+                    victim_jobs
+                        .map(|victim| self.preemption_cost(victim))
+                        .sum::<u64>(),
+                    key,
+                ))
             })
             .min()
             .map(|(_, key)| key)
     }
 
-    pub(super) fn with_victims(
+    /// A placement on `members` that preempts every job that holds any of them.
+    pub(super) fn plan_with_victims(
         &self,
         members: Vec<(WorkerKey, AcceleratorMask)>,
         pledge: Option<PledgeKey>,
--- a/src/core/region.rs
+++ b/src/core/region.rs
@@ -1,4 +1,4 @@
-//! Finding workers that together can hold a shape.
+//! Finds sets of workers that together can hold a shape.
 
 use super::{
     Adjacency,
@@ -6,18 +6,19 @@
     Index,
     Shape,
     WorkerKey,
-    fragmentation::MAX_SPAN_FACTOR,
+    fragmentation::MAX_RACK_SPAN_FACTOR,
     worker::MAX_ACCELERATORS_PER_WORKER, //
 };
 
-/// How many workers of one count are compared for the least broken rack.
+/// Maximum number of workers with the same usable count that are compared for a
+/// single-worker job.
 const COMPARED_WORKERS: usize = 16;
 
-/// The end of the data centre from which a kind of work is placed.
+/// The end of the data centre from which jobs are placed.
 ///
-/// Work that stays until it ends is placed from the first rack on, work that
-/// can be taken back from the last rack down, next to the guarantees. What
-/// cannot be moved then does not stand scattered among what can.
+/// Jobs that are not reclaimable are placed from the first rack on, reclaimable
+/// jobs from the last rack down, next to the pledges. Jobs that cannot be moved
+/// are therefore not scattered among those that can.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
     /// From the first rack on.
@@ -27,15 +28,15 @@
 }
 
 impl End {
-    /// The end for work that can or cannot be taken back.
-    pub fn of(yields: bool) -> Self {
-        match yields {
+    /// The end for reclaimable jobs or for all others.
+    pub fn of(is_reclaimable: bool) -> Self {
+        match is_reclaimable {
             true => Self::Last,
             false => Self::First,
         }
     }
 
-    /// Ranks positions: lower is nearer to the end.
+    /// The rank of a position: lower is closer to this end.
     fn rank(self, position: usize) -> i64 {
         match self {
             Self::First => position as i64,
@@ -44,7 +45,8 @@
     }
 }
 
-/// The tightest set of workers for `shape` among what `index` counts.
+/// Finds workers for `shape` by the counts of `index`, so that as little free
+/// capacity as possible is broken up. Returns `None` if the shape does not fit.
 pub fn find(fleet: &Fleet, index: &Index, shape: &Shape, end: End) -> Option<Vec<WorkerKey>> {
     let per_worker = usize::from(shape.accelerators_per_worker);
     if per_worker == 0 || per_worker > MAX_ACCELERATORS_PER_WORKER {
@@ -56,31 +58,33 @@
     match shape.adjacency {
         Adjacency::Anywhere => tightest_workers(index, shape),
         Adjacency::Rack => tightest_rack(fleet, index, shape, end),
-        Adjacency::NeighbouringRacks => tightest_run(fleet, index, shape, end),
+        Adjacency::NeighbouringRacks => tightest_rack_range(fleet, index, shape, end),
     }
 }
 
-/// A worker for a single task: one that is in use already rather than a whole
-/// one, then one in the rack with the fewest whole workers, so that whole racks
-/// stay whole, then the one that is left with the least.
+/// The best worker for a single-worker shape. Prefers a worker that is partly in
+/// use to a wholly free one, then the rack with the fewest wholly usable workers,
+/// so that free racks stay free, then the fewest usable accelerators.
 fn best_worker(fleet: &Fleet, index: &Index, per_worker: usize, end: End) -> Option<WorkerKey> {
     (per_worker..=MAX_ACCELERATORS_PER_WORKER)
         .flat_map(|count| {
             let up = (end == End::First).then(|| index.with_count(count));
-            let down = (end == End::Last).then(|| index.with_count_down(count));
-            let all = up.into_iter().flatten().chain(down.into_iter().flatten());
-            all.take(COMPARED_WORKERS)
+            let down = (end == End::Last).then(|| index.with_count_descending(count));
+            let workers = up.into_iter().flatten().chain(down.into_iter().flatten());
+            workers.take(COMPARED_WORKERS)
         })
         .min_by_key(|&key| {
             let worker = fleet.worker(key);
-            let whole = worker.all.count_ones() as u16;
-            let whole_in_rack = index.rack_at_least(whole)[worker.rack.index()];
-            let breaks = worker.free == worker.all && usize::from(whole) != per_worker;
+            let all = worker.all.count_ones() as u16;
+            let whole_in_rack = index.workers_by_rack(all)[worker.rack.index()];
+            let splits_worker = worker.free == worker.all && usize::from(all) != per_worker;
             let rank = end.rank(key.index());
-            (breaks, whole_in_rack, index.count(key), rank)
+            (splits_worker, whole_in_rack, index.count(key), rank)
         })
 }
 
+/// Workers anywhere in the data centre, those with the fewest usable accelerators
+/// first.
 fn tightest_workers(index: &Index, shape: &Shape) -> Option<Vec<WorkerKey>> {
     let wanted = usize::from(shape.workers);
     let per_worker = usize::from(shape.accelerators_per_worker);
@@ -91,58 +95,59 @@
     (found.len() == wanted).then_some(found)
 }
 
+/// Workers of the rack that has enough of them and the fewest to spare.
 fn tightest_rack(fleet: &Fleet, index: &Index, shape: &Shape, end: End) -> Option<Vec<WorkerKey>> {
-    let reach = index.rack_at_least(shape.accelerators_per_worker);
-    let (rack, _) = reach
+    let workers_by_rack = index.workers_by_rack(shape.accelerators_per_worker);
+    let (rack, _) = workers_by_rack
         .iter()
         .enumerate()
         .filter(|&(_, &workers)| workers >= shape.workers)
         .min_by_key(|&(rack, &workers)| (workers, end.rank(rack)))?;
-    Some(take_workers(fleet, index, rack..rack + 1, shape))
+    Some(select_workers(fleet, index, rack..rack + 1, shape))
 }
 
-/// The shortest run of consecutive racks with enough workers; among equals the
-/// one with the fewest to spare.
-fn tightest_run(
+/// Workers of the shortest range of consecutive racks that has enough of them;
+/// among ranges of equal length, the one with the fewest to spare.
+fn tightest_rack_range(
     fleet: &Fleet,
     index: &Index,
     shape: &Shape,
-    end_of: End,
+    packing_end: End,
 ) -> Option<Vec<WorkerKey>> {
-    let reach = index.rack_at_least(shape.accelerators_per_worker);
+    let workers_by_rack = index.workers_by_rack(shape.accelerators_per_worker);
     let wanted = u32::from(shape.workers);
-    let longest = longest_run(fleet, shape);
+    let max_racks = max_rack_range(fleet, shape);
     let mut best: Option<(usize, u32, i64)> = None;
     let (mut start, mut sum) = (0, 0);
-    for end in 0..reach.len() {
-        sum += u32::from(reach[end]);
-        while sum - u32::from(reach[start]) >= wanted && start < end {
-            sum -= u32::from(reach[start]);
+    for end in 0..workers_by_rack.len() {
+        sum += u32::from(workers_by_rack[end]);
+        while sum - u32::from(workers_by_rack[start]) >= wanted && start < end {
+            sum -= u32::from(workers_by_rack[start]);
             start += 1;
         }
         let length = end + 1 - start;
-        let candidate = (length, sum, end_of.rank(start));
-        if sum >= wanted && length <= longest && best.is_none_or(|best| candidate < best) {
+        let candidate = (length, sum, packing_end.rank(start));
+        if sum >= wanted && length <= max_racks && best.is_none_or(|best| candidate < best) {
             best = Some(candidate);
         }
     }
     let (length, _, rank) = best?;
     let start = rank.unsigned_abs() as usize;
-    Some(take_workers(fleet, index, start..start + length, shape))
+    Some(select_workers(fleet, index, start..start + length, shape))
 }
 
-/// The longest run of racks in which a gang of `shape` counts as adjacent.
-fn longest_run(fleet: &Fleet, shape: &Shape) -> usize {
+/// The longest range of racks in which a gang of `shape` counts as adjacent.
+fn max_rack_range(fleet: &Fleet, shape: &Shape) -> usize {
     let rack_size = fleet.racks().iter().map(Vec::len).max().unwrap_or(1);
-    usize::from(shape.workers).div_ceil(rack_size.max(1)) * MAX_SPAN_FACTOR
+    usize::from(shape.workers).div_ceil(rack_size.max(1)) * MAX_RACK_SPAN_FACTOR
 }
 
-/// The set of workers for `shape` with the lowest sum of costs; a worker whose
-/// cost is `None` cannot be in it.
+/// The set of workers for `shape` with the lowest total cost. A worker whose cost
+/// is `None` is excluded.
 pub fn find_cheapest(
     fleet: &Fleet,
     shape: &Shape,
-    end_of: End,
+    packing_end: End,
     cost: impl Fn(WorkerKey) -> Option<u64>,
 ) -> Option<Vec<WorkerKey>> {
     let wanted = usize::from(shape.workers);
@@ -155,13 +160,13 @@
                 .collect()
         })
         .collect();
-    let longest = match shape.adjacency {
+    let max_racks = match shape.adjacency {
         Adjacency::Rack => 1,
-        Adjacency::NeighbouringRacks => longest_run(fleet, shape),
+        Adjacency::NeighbouringRacks => max_rack_range(fleet, shape),
         Adjacency::Anywhere => racks.len(),
     };
     let cheapest_from = |start: usize| -> Option<(u64, i64, Vec<WorkerKey>)> {
-        let end = (start + longest).min(racks.len());
+        let end = (start + max_racks).min(racks.len());
         let mut found: Vec<(u64, WorkerKey)> = racks[start..end].concat();
         if found.len() < wanted {
             return None;
@@ -170,7 +175,7 @@
         found.truncate(wanted);
         let sum = found.iter().map(|&(cost, _)| cost).sum();
         let workers = found.into_iter().map(|(_, key)| key).collect();
-        Some((sum, end_of.rank(start), workers))
+        Some((sum, packing_end.rank(start), workers))
     };
     let starts = match shape.adjacency {
         Adjacency::Anywhere => 0..1,
@@ -182,7 +187,9 @@
         .map(|(_, _, workers)| workers)
 }
 
-fn take_workers(
+/// The workers of `racks` for `shape`, those with the fewest usable accelerators
+/// first.
+fn select_workers(
     fleet: &Fleet,
     index: &Index,
     racks: std::ops::Range<usize>,
--- a/src/core/shape.rs
+++ b/src/core/shape.rs
@@ -1,11 +1,11 @@
-//! The shape of accelerators that a job asks for or an account is guaranteed.
+//! The shape of accelerators that a job requests or that an account is guaranteed.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// How close the members of a gang have to be.
+/// How close to each other the members of a gang have to be.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -14,19 +14,19 @@
     /// Any workers of the data centre.
     #[default]
     Anywhere,
-    /// Workers of a run of consecutive racks, at most twice as long as needed.
+    /// Workers of a range of consecutive racks, at most twice as long as needed.
     NeighbouringRacks,
     /// Workers of one rack.
     Rack,
 }
 
-/// A number of accelerators on each of a number of different workers.
+/// A number of accelerators on each of one or more workers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shape {
     /// Accelerators on each worker.
     pub accelerators_per_worker: u16,
-    /// Number of different workers, the size of the gang.
+    /// Number of different workers, which is the size of the gang.
     #[serde(default = "one")]
     pub workers: u16,
     /// How close the workers have to be.
@@ -48,12 +48,13 @@
         }
     }
 
-    /// Accelerators in all.
+    /// Number of accelerators on all workers together.
     pub fn accelerators(&self) -> u32 {
         u32::from(self.accelerators_per_worker) * u32::from(self.workers)
     }
 
-    /// Whether a gang of this shape can stand inside an assignment of `outer`.
+    /// Whether a gang of this shape fits into the accelerators of any placement of
+    /// `outer`.
     pub fn fits_within(&self, outer: &Shape) -> bool {
         let close_enough = self.workers == 1
             || outer.adjacency >= self.adjacency
--- a/src/core/worker.rs
+++ b/src/core/worker.rs
@@ -1,4 +1,8 @@
-//! One worker: who holds, claims or is pledged each of its accelerators.
+//! The state of one worker: for each of its accelerators, the job that holds it,
+//! the gang that has claimed it and the pledge that it belongs to.
+//!
+//! An accelerator has at most one holder. A gang claims accelerators that a
+//! preempted job still holds, and becomes their holder when the job releases them.
 
 use super::{
     JobKey,
@@ -6,7 +10,7 @@
     RackKey, //
 };
 
-/// The most accelerators a worker can have.
+/// Maximum number of accelerators of a worker.
 pub const MAX_ACCELERATORS_PER_WORKER: usize = 16;
 
 /// A set of a worker's accelerators, one bit each.
@@ -15,41 +19,41 @@
 /// Whether a worker may receive work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkerHealth {
-    /// Takes work.
+    /// Accepts jobs.
     Healthy,
-    /// Fails what it starts; takes none until `until_ms`, then one job.
+    /// Several different jobs failed here in a row; accepts no jobs until `until_ms`.
     Quarantined {
-        /// When probation begins.
+        /// When the worker accepts jobs again, on probation.
         until_ms: u64,
     },
-    /// Leaving; finishes what it runs.
+    /// Draining: accepts no new jobs and finishes those that it runs.
     Leaving,
-    /// Its lease ended or it left the platform's list.
+    /// Its lease expired or the platform no longer lists it.
     Lost,
 }
 
-/// State of one worker.
+/// The state of one worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// The platform's name of the worker.
     pub name: String,
     /// Its rack.
     pub rack: RackKey,
-    /// All its accelerators.
+    /// All accelerators of the worker.
     pub all: AcceleratorMask,
     /// Accelerators without a holder.
     pub free: AcceleratorMask,
-    /// Accelerators that belong to the witness of some guarantee.
+    /// Accelerators that are pledged to an account.
     pub pledged: AcceleratorMask,
-    /// Accelerators held by work that can be taken back.
-    pub yielding: AcceleratorMask,
-    /// Accelerators that a waiting gang has claimed from their holder.
+    /// Accelerators held by reclaimable jobs.
+    pub reclaimable: AcceleratorMask,
+    /// Accelerators that a waiting gang gets as soon as their holder releases them.
     pub claimed: AcceleratorMask,
-    /// The gang for which the worker is kept, if any.
-    pub kept_for: Option<JobKey>,
+    /// The waiting gang for which the worker is reserved, if any.
+    pub reserved_for: Option<JobKey>,
     /// Whether it may receive work.
     pub health: WorkerHealth,
-    /// Different jobs that failed here in a row.
+    /// Different jobs that failed here since the last success.
     pub failed_jobs: Vec<JobKey>,
     holders: [Option<JobKey>; MAX_ACCELERATORS_PER_WORKER],
     claims: [Option<JobKey>; MAX_ACCELERATORS_PER_WORKER],
@@ -61,15 +65,15 @@
     (0..MAX_ACCELERATORS_PER_WORKER).filter(move |bit| mask >> bit & 1 == 1)
 }
 
-/// The lowest `count` accelerators of `mask`.
-pub(super) fn lowest(mask: AcceleratorMask, count: u16) -> AcceleratorMask {
+/// The first `count` accelerators of `mask`.
+pub(super) fn lowest_bits(mask: AcceleratorMask, count: u16) -> AcceleratorMask {
     bits(mask)
         .take(usize::from(count))
         .fold(0, |chosen, bit| chosen | 1 << bit)
 }
 
 impl Worker {
-    /// A healthy, empty worker with `accelerators` accelerators.
+    /// A healthy worker with `accelerators` accelerators, all of them free.
     pub fn new(name: String, rack: RackKey, accelerators: u16) -> Self {
         let count = u32::from(accelerators).min(MAX_ACCELERATORS_PER_WORKER as u32);
         let all = ((1u32 << count) - 1) as AcceleratorMask;
@@ -79,9 +83,9 @@
             all,
             free: all,
             pledged: 0,
-            yielding: 0,
+            reclaimable: 0,
             claimed: 0,
-            kept_for: None,
+            reserved_for: None,
             health: WorkerHealth::Healthy,
             failed_jobs: Vec::new(),
             holders: [None; MAX_ACCELERATORS_PER_WORKER],
@@ -90,15 +94,16 @@
         }
     }
 
-    /// Whether new work may be placed here.
+    /// Whether new jobs may be placed here.
     pub fn takes_work(&self) -> bool {
         self.health == WorkerHealth::Healthy
     }
 
-    /// Accelerators, held ones too, in which work that can, or cannot, be taken
-    /// back may stand; none while the worker takes no work.
-    pub fn usable_by(&self, yields: bool) -> AcceleratorMask {
-        match (self.takes_work(), yields) {
+    /// The accelerators, free or held, that a job may use: all if the job is
+    /// reclaimable, otherwise those outside every pledge. Empty while the worker
+    /// accepts no jobs.
+    pub fn usable_by(&self, is_reclaimable: bool) -> AcceleratorMask {
+        match (self.takes_work(), is_reclaimable) {
             (false, _) => 0,
             (true, true) => self.all,
             (true, false) => self.all & !self.pledged,
@@ -120,7 +125,7 @@
         self.pledges[accelerator]
     }
 
-    /// Jobs that hold accelerators of `mask`, each once.
+    /// The jobs that hold accelerators of `mask`, without duplicates.
     pub fn holders_of(&self, mask: AcceleratorMask) -> Vec<JobKey> {
         let mut jobs: Vec<JobKey> = bits(mask).filter_map(|bit| self.holders[bit]).collect();
         jobs.sort_unstable();
@@ -135,36 +140,43 @@
             .fold(0, |mask, bit| mask | 1 << bit)
     }
 
-    pub(super) fn hold(&mut self, mask: AcceleratorMask, job: JobKey, yields: bool) {
-        debug_assert_eq!(mask & !self.free, 0, "accelerators have one holder");
+    /// Makes `job` the holder of the accelerators of `mask`, which must be free.
+    pub(super) fn hold(&mut self, mask: AcceleratorMask, job: JobKey, is_reclaimable: bool) {
+        debug_assert_eq!(
+            mask & !self.free,
+            0,
+            "an accelerator has at most one holder"
+        );
         self.free &= !mask;
-        if yields {
-            self.yielding |= mask;
+        if is_reclaimable {
+            self.reclaimable |= mask;
         }
         for bit in bits(mask) {
             self.holders[bit] = Some(job);
         }
     }
 
-    /// Takes `mask` from its holder; claimed accelerators pass to the claimant
-    /// and are returned with it.
+    /// Takes the accelerators of `mask` from their holder. Claimed ones pass to
+    /// their claimants; returns each claimant with the accelerators it received.
     pub(super) fn release(&mut self, mask: AcceleratorMask) -> Vec<(JobKey, AcceleratorMask)> {
-        let mut passed: Vec<(JobKey, AcceleratorMask)> = Vec::new();
-        self.yielding &= !mask;
+        let mut transferred: Vec<(JobKey, AcceleratorMask)> = Vec::new();
+        self.reclaimable &= !mask;
         for bit in bits(mask) {
             self.holders[bit] = self.claims[bit].take();
             match self.holders[bit] {
-                Some(job) => match passed.iter_mut().find(|(to, _)| *to == job) {
-                    Some((_, taken)) => *taken |= 1 << bit,
-                    None => passed.push((job, 1 << bit)),
+                Some(job) => match transferred.iter_mut().find(|(to, _)| *to == job) {
+                    Some((_, received)) => *received |= 1 << bit,
+                    None => transferred.push((job, 1 << bit)),
                 },
                 None => self.free |= 1 << bit,
             }
         }
         self.claimed &= !mask;
-        passed
+        transferred
     }
 
+    /// Claims the accelerators of `mask` for `job`, which gets them when their
+    /// holders release them.
     pub(super) fn claim(&mut self, mask: AcceleratorMask, job: JobKey) {
         self.claimed |= mask;
         for bit in bits(mask) {
@@ -172,6 +184,7 @@
         }
     }
 
+    /// Drops all claims of `job`.
     pub(super) fn unclaim(&mut self, job: JobKey) {
         for bit in bits(self.claimed) {
             if self.claims[bit] == Some(job) {
@@ -181,15 +194,17 @@
         }
     }
 
-    pub(super) fn set_yielding(&mut self, job: JobKey, yields: bool) {
+    /// Marks the accelerators that `job` holds as reclaimable or not.
+    pub(super) fn set_yielding(&mut self, job: JobKey, is_reclaimable: bool) {
         let held = self.held_by(job);
-        if yields {
-            self.yielding |= held;
+        if is_reclaimable {
+            self.reclaimable |= held;
         } else {
-            self.yielding &= !held;
+            self.reclaimable &= !held;
         }
     }
 
+    /// Sets or clears the pledge to which the accelerators of `mask` belong.
     pub(super) fn set_pledge(&mut self, mask: AcceleratorMask, pledge: Option<PledgeKey>) {
         for bit in bits(mask) {
             self.pledges[bit] = pledge;
--- a/tests/support/mixes.rs
+++ b/tests/support/mixes.rs
@@ -1,4 +1,4 @@
-//! Seeded lists of jobs for the two deployments and the size to design for.
+//! Seeded lists of jobs: mixes for two deployments, and data centres of a given size.
 
 use super::driver::{
     ListedJob,
@@ -18,6 +18,7 @@
 
 const HOUR_MS: u64 = 3_600_000;
 const END_MS: u64 = 6 * HOUR_MS;
+/// The mixes of each deployment.
 pub const NAMES: [&str; 8] = [
     "day",
     "night",
@@ -29,7 +30,7 @@
     "reclaim-all",
 ];
 
-/// One of the users.
+/// A deployment whose jobs and guarantees are simulated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Deployment {
     Jadran,
@@ -47,13 +48,14 @@
     }
 }
 
-/// A kind of job that arrives at random.
-struct Stream {
+/// A kind of job that arrives at random times.
+struct JobStream {
     class: &'static str,
     accounts: &'static [&'static str],
     shapes: &'static [Shape],
+    /// The shortest and the longest run time.
     run_ms: (u64, u64),
-    /// Share of the data centre's accelerators that it needs by day.
+    /// Average share of the data centre's accelerators that the jobs need by day.
     load: f64,
     idempotent: bool,
 }
@@ -66,7 +68,7 @@
     }
 }
 
-const fn run_of_racks(workers: u16) -> Shape {
+const fn neighbouring_racks(workers: u16) -> Shape {
     Shape {
         accelerators_per_worker: 8,
         workers,
@@ -82,8 +84,8 @@
     }
 }
 
-const JADRAN: [Stream; 4] = [
-    Stream {
+const JADRAN: [JobStream; 4] = [
+    JobStream {
         class: "notice",
         accounts: &["zadruga", "sindikat", "otok", "mreza"],
         shapes: &[single(1)],
@@ -91,7 +93,7 @@
         load: 0.02,
         idempotent: false,
     },
-    Stream {
+    JobStream {
         class: "render",
         accounts: &["zadruga", "sindikat", "otok", "mreza"],
         shapes: &[single(1), single(1), single(2)],
@@ -99,7 +101,7 @@
         load: 0.20,
         idempotent: true,
     },
-    Stream {
+    JobStream {
         class: "translation",
         accounts: &["zadruga", "sindikat", "mreza"],
         shapes: &[rack(2), rack(2), rack(4)],
@@ -107,18 +109,23 @@
         load: 0.40,
         idempotent: true,
     },
-    Stream {
+    JobStream {
         class: "indexing",
         accounts: &["zadruga", "sindikat", "otok", "mreza"],
-        shapes: &[single(8), single(4), run_of_racks(4), run_of_racks(8)],
+        shapes: &[
+            single(8),
+            single(4),
+            neighbouring_racks(4),
+            neighbouring_racks(8),
+        ],
         run_ms: (1_200_000, 3_600_000),
         load: 0.45,
         idempotent: true,
     },
 ];
 
-const KIGALI: [Stream; 4] = [
-    Stream {
+const KIGALI: [JobStream; 4] = [
+    JobStream {
         class: "fitment",
         accounts: &["counter", "depots", "mills", "licensed"],
         shapes: &[single(1)],
@@ -126,7 +133,7 @@
         load: 0.004,
         idempotent: false,
     },
-    Stream {
+    JobStream {
         class: "match",
         accounts: &["counter", "depots", "mills", "licensed"],
         shapes: &[single(2), single(1)],
@@ -134,7 +141,7 @@
         load: 0.10,
         idempotent: true,
     },
-    Stream {
+    JobStream {
         class: "pricing",
         accounts: &["counter", "mills", "licensed"],
         shapes: &[rack(2), single(8), rack(4)],
@@ -142,10 +149,15 @@
         load: 0.33,
         idempotent: true,
     },
-    Stream {
+    JobStream {
         class: "forecast",
         accounts: &["counter", "depots", "mills", "licensed"],
-        shapes: &[single(4), single(8), run_of_racks(4), run_of_racks(8)],
+        shapes: &[
+            single(4),
+            single(8),
+            neighbouring_racks(4),
+            neighbouring_racks(8),
+        ],
         run_ms: (1_200_000, 3_600_000),
         load: 0.45,
         idempotent: true,
@@ -284,7 +296,7 @@
 "#;
 
 fn parse(text: &str) -> Declaration {
-    toml::from_str(text).expect("the declaration is right")
+    toml::from_str(text).expect("the declaration is valid")
 }
 
 struct Generator {
@@ -298,7 +310,8 @@
         from[self.random.random_range(0..from.len())]
     }
 
-    fn job(&mut self, stream: &Stream, at_ms: u64) -> ListedJob {
+    /// A random job of `stream` that arrives at `at_ms`.
+    fn random_job(&mut self, stream: &JobStream, at_ms: u64) -> ListedJob {
         let actual_run_ms = self.random.random_range(stream.run_ms.0..=stream.run_ms.1);
         ListedJob {
             at_ms,
@@ -313,28 +326,28 @@
         }
     }
 
-    /// Arrivals at random, as many as the load needs, until an hour before
-    /// the end.
-    fn stream(&mut self, stream: &Stream, load_factor: f64) {
+    /// Adds random arrivals of `stream` until an hour before the end of the mix, at
+    /// the rate that its load times `load_factor` needs.
+    fn add_arrivals(&mut self, stream: &JobStream, load_factor: f64) {
         let sizes: u32 = stream.shapes.iter().map(Shape::accelerators).sum();
         let mean_size = f64::from(sizes) / stream.shapes.len() as f64;
         let mean_run_ms = (stream.run_ms.0 + stream.run_ms.1) as f64 / 2.0;
         let wanted = stream.load * load_factor * self.accelerators;
-        let gap_ms = mean_size * mean_run_ms / wanted;
+        let mean_gap_ms = mean_size * mean_run_ms / wanted;
         let mut at_ms = 0.0;
         loop {
             let uniform: f64 = self.random.random_range(1e-9..1.0);
-            at_ms += -uniform.ln() * gap_ms;
+            at_ms += -uniform.ln() * mean_gap_ms;
             if at_ms as u64 >= END_MS - HOUR_MS {
                 return;
             }
-            let job = self.job(stream, at_ms as u64);
+            let job = self.random_job(stream, at_ms as u64);
             self.jobs.push(job);
         }
     }
 }
 
-/// A mix by its name.
+/// The mix called `name`, one of [`NAMES`].
 pub fn mix(deployment: Deployment, name: &str, seed: u64) -> Mix {
     let (streams, declaration, rack_size) = match deployment {
         Deployment::Jadran => (&JADRAN, JADRAN_DECLARATION, 6),
@@ -353,7 +366,7 @@
         _ => [1.0, 1.0, 1.0, 1.0],
     };
     for (stream, factor) in streams.iter().zip(factors) {
-        generator.stream(stream, factor);
+        generator.add_arrivals(stream, factor);
     }
     let mut mix = Mix {
         name: format!("{}.{name}", deployment.name()),
@@ -364,22 +377,33 @@
         end_ms: END_MS,
         jobs: Vec::new(),
         bad_workers: HashSet::new(),
-        demand: vec![(rack(2), 16.0), (rack(4), 32.0), (run_of_racks(8), 64.0)],
+        demand: vec![
+            (rack(2), 16.0),
+            (rack(4), 32.0),
+            (neighbouring_racks(8), 64.0),
+        ],
     };
-    distort(&mut mix, &mut generator, streams, name);
+    add_special_events(&mut mix, &mut generator, streams, name);
     mix.jobs = generator.jobs;
     mix
 }
 
-fn distort(mix: &mut Mix, generator: &mut Generator, streams: &[Stream; 4], name: &str) {
+/// Adds what distinguishes the mix called `name`: bursts, wrong declared run times,
+/// bad workers and broken jobs, mass cancellations, or jobs that fill every guarantee.
+fn add_special_events(
+    mix: &mut Mix,
+    generator: &mut Generator,
+    streams: &[JobStream; 4],
+    name: &str,
+) {
     match name {
         "burst" => {
             for _ in 0..800 {
-                let job = generator.job(&streams[1], HOUR_MS);
+                let job = generator.random_job(&streams[1], HOUR_MS);
                 generator.jobs.push(job);
             }
             for _ in 0..16 {
-                let job = generator.job(&streams[2], 3 * HOUR_MS);
+                let job = generator.random_job(&streams[2], 3 * HOUR_MS);
                 generator.jobs.push(job);
             }
         }
@@ -399,7 +423,7 @@
         }
         "cancellation" => {
             for _ in 0..10_000 {
-                let mut job = generator.job(&streams[1], 2 * HOUR_MS);
+                let mut job = generator.random_job(&streams[1], 2 * HOUR_MS);
                 job.cancel_at_ms = Some(2 * HOUR_MS + 5 * 60_000);
                 generator.jobs.push(job);
             }
@@ -409,7 +433,7 @@
                 for account in &mix.declaration.accounts {
                     for guarantee in &account.guarantees {
                         for _ in 0..guarantee.count {
-                            let mut job = generator.job(&streams[2], hour * HOUR_MS);
+                            let mut job = generator.random_job(&streams[2], hour * HOUR_MS);
                             job.account = streams[0]
                                 .accounts
                                 .iter()
@@ -427,8 +451,9 @@
     }
 }
 
-/// A data centre of `workers` workers of 5 slots with 4 tasks running on each
-/// at the end of the filling, and a steady flow of jobs beside.
+/// A data centre of `workers` workers with 5 accelerators each. Jobs first arrive
+/// until each worker can run 4 tasks; after a pause, further jobs arrive at a steady
+/// rate.
 pub fn sized(workers: usize, seed: u64) -> Mix {
     let mut random = StdRng::seed_from_u64(seed);
     let gang = |workers| Shape {
@@ -437,8 +462,8 @@
         adjacency: Adjacency::NeighbouringRacks,
     };
     let mut jobs = Vec::new();
-    let flow = workers * 6;
-    for at in 0..flow {
+    let job_count = workers * 6;
+    for at in 0..job_count {
         let filling = at < workers * 4;
         let at_ms = match filling {
             true => at as u64,
