--- a/src/core/reclaim.rs
+++ b/src/core/reclaim.rs
@@ -182,7 +182,7 @@
     /// a later deadline. Two jobs can therefore never preempt each other in turn,
     /// which would keep a scheduling pass from ending.
     ///
-    /// A job of the same account that uses the pledge as lent capacity, perhaps
+    /// A job of the same account that uses the pledge as a reclaimable job, perhaps
     /// across two pledges, may also be preempted by a job of the guaranteed shape:
     /// its successor runs inside the guarantee, where it is not reclaimable.
     fn may_be_preempted(&self, holder: &Job, job: &Job, worker: &Worker, bit: usize) -> bool {
--- a/src/core/worker.rs
+++ b/src/core/worker.rs
@@ -16,7 +16,7 @@
 /// A set of a worker's accelerators, one bit each.
 pub type AcceleratorMask = u16;
 
-/// Whether a worker may receive work.
+/// Whether a worker may receive jobs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkerHealth {
     /// Accepts jobs.
@@ -51,7 +51,7 @@
     pub claimed: AcceleratorMask,
     /// The waiting gang for which the worker is reserved, if any.
     pub reserved_for: Option<JobKey>,
-    /// Whether it may receive work.
+    /// Whether it may receive jobs.
     pub health: WorkerHealth,
     /// Different jobs that failed here since the last success.
     pub failed_jobs: Vec<JobKey>,
