--- a/src/ledger/envelope.rs
+++ b/src/ledger/envelope.rs
@@ -1,4 +1,5 @@
-//! The envelope of everything that a ledger stores: magic, version, checksum.
+//! The envelope of all values that a ledger stores: magic number, format version
+//! and checksum.
 
 use bytes::{
     Buf,
@@ -10,36 +11,36 @@
 const MAGIC: &[u8; 4] = b"FSLP";
 const VERSION: u8 = 1;
 const HEADER_BYTES: usize = 4 + 1 + 4;
-/// The largest value that the platform's service takes.
+/// Maximum size of a value in the platform's key-value service.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Why a stored value cannot be read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum EnvelopeError {
-    /// The value is cut short or is not a ledger value.
+    /// The value is truncated or is not a ledger value.
     #[error("the value is torn or not a ledger value; restore it from the previous page slot")]
     Torn,
-    /// A newer daemon wrote it.
+    /// The format version is unknown; a newer daemon wrote the value.
     #[error("the value has format {found}, this program reads {VERSION}; use a newer program")]
     UnknownVersion {
-        /// Format that was found.
+        /// The version that was found.
         found: u8,
     },
     /// The content does not match its checksum.
     #[error("the value does not match its checksum; inspect it with `fuchsiaslip ledger dump`")]
     Checksum,
-    /// The value is larger than the service takes.
+    /// The value exceeds [`MAX_VALUE_BYTES`].
     #[error("the value has {size_bytes} bytes, above the limit of {MAX_VALUE_BYTES}")]
     Oversized {
-        /// Its size.
+        /// Size of the value.
         size_bytes: usize,
     },
-    /// The content is no valid record.
+    /// The content cannot be decoded as a record.
     #[error("the content does not decode; inspect it with `fuchsiaslip ledger dump`")]
     Content,
 }
 
-/// Wraps `content`.
+/// Wraps `content` in an envelope.
 pub fn seal(content: &[u8]) -> Bytes {
     let mut value = BytesMut::with_capacity(HEADER_BYTES + content.len());
     value.put_slice(MAGIC);
@@ -49,11 +50,11 @@
     value.freeze()
 }
 
-/// Unwraps a value.
+/// Checks the envelope of a stored value and returns its content.
 ///
 /// # Errors
 ///
-/// The value is torn, damaged, oversized or of an unknown version.
+/// Fails if the value is truncated, damaged, oversized or of an unknown version.
 pub fn open(mut value: Bytes) -> Result<Bytes, EnvelopeError> {
     if value.len() > MAX_VALUE_BYTES {
         return Err(EnvelopeError::Oversized {
--- a/src/ledger/job_pages.rs
+++ b/src/ledger/job_pages.rs
@@ -1,4 +1,7 @@
-//! The content of a ledger in memory: jobs on numbered pages.
+//! The jobs of a ledger in memory, assigned to numbered pages.
+//!
+//! Changes apply to the jobs at once. A compaction assigns new jobs to pages and
+//! returns the pages whose stored content is out of date.
 
 use super::{
     Change,
@@ -12,12 +15,13 @@
     BTreeSet, //
 };
 
-/// A page takes no more jobs beyond this size.
+/// Size that a page may not exceed when a job is added to it.
 const FULL_PAGE_BYTES: usize = 128 << 10;
-/// A page that shrinks below this size has its jobs moved to the open page.
+/// A page that shrinks below this size is dropped and its jobs are moved to the
+/// open page.
 const SPARSE_PAGE_BYTES: usize = 16 << 10;
 
-/// Jobs of one page as they are stored.
+/// The stored content of one page.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct PageRecord {
     /// The jobs.
@@ -25,10 +29,11 @@
     pub jobs: Vec<JobRecord>,
 }
 
+/// A job and the page that it is on.
 #[derive(Debug)]
 struct Entry {
     record: JobRecord,
-    /// Page that holds the job; none until it is first folded.
+    /// Number of the job's page; `None` until its first compaction.
     page: Option<u32>,
 }
 
@@ -43,24 +48,26 @@
 pub struct JobPages {
     jobs: BTreeMap<u64, Entry>,
     pages: BTreeMap<u32, Page>,
-    /// Jobs changed since they were last on a page.
-    unfolded: BTreeSet<u64>,
-    /// Pages that lost a job since they were last written.
-    touched: BTreeSet<u32>,
+    /// Jobs changed since the last compaction.
+    changed_jobs: BTreeSet<u64>,
+    /// Pages whose stored content is out of date. A compaction adds the pages of
+    /// `changed_jobs`.
+    changed_pages: BTreeSet<u32>,
+    /// Page to which jobs are added.
     open_page: u32,
 }
 
-/// A page to write anew, or to drop when it has no jobs.
+/// A page to write again, or to drop if it has no jobs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FoldedPage {
-    /// Its number.
+pub struct CompactedPage {
+    /// Number of the page.
     pub number: u32,
-    /// Its content.
+    /// Content of the page.
     pub content: PageRecord,
 }
 
 impl JobPages {
-    /// Takes in a stored page.
+    /// Adds the jobs of a stored page.
     pub fn load_page(&mut self, number: u32, content: PageRecord) {
         self.open_page = self.open_page.max(number);
         for record in content.jobs {
@@ -77,7 +84,7 @@
         }
     }
 
-    /// Applies one change.
+    /// Applies one change to its job. A change to an unknown job is ignored.
     pub fn apply(&mut self, change: &Change) {
         let Some(kind) = &change.kind else {
             return;
@@ -99,52 +106,53 @@
             }
             ChangeKind::Forgotten(_) => {
                 let page = self.jobs.remove(&id).and_then(|entry| entry.page);
-                self.unfolded.remove(&id);
-                self.touched.extend(page);
+                self.changed_jobs.remove(&id);
+                self.changed_pages.extend(page);
                 return;
             }
             _ => {
                 let Some(entry) = self.jobs.get_mut(&id) else {
                     return;
                 };
-                change_record(&mut entry.record, kind);
+                apply_to_record(&mut entry.record, kind);
             }
         }
-        self.unfolded.insert(id);
+        self.changed_jobs.insert(id);
     }
 
-    /// Puts every changed job onto a page; returns the pages to write.
-    pub fn fold(&mut self) -> Vec<FoldedPage> {
-        for id in std::mem::take(&mut self.unfolded) {
+    /// Assigns every new job to a page and returns all pages to write.
+    pub fn compact(&mut self) -> Vec<CompactedPage> {
+        for id in std::mem::take(&mut self.changed_jobs) {
             let page = self.jobs.get(&id).and_then(|entry| entry.page);
             match page {
                 Some(page) => {
-                    self.touched.insert(page);
+                    self.changed_pages.insert(page);
                 }
-                None => self.assign(id),
+                None => self.assign_page(id),
             }
         }
-        let mut touched = std::mem::take(&mut self.touched);
-        for &number in &touched {
-            self.measure(number);
+        let mut changed = std::mem::take(&mut self.changed_pages);
+        for &number in &changed {
+            self.update_page(number);
         }
-        for number in self.sparse(&touched) {
+        for number in self.sparse_pages(&changed) {
             for id in self.pages.remove(&number).unwrap_or_default().jobs {
-                self.assign(id);
+                self.assign_page(id);
             }
         }
-        touched.extend(std::mem::take(&mut self.touched));
-        let write = |number: u32| {
-            self.measure(number);
-            FoldedPage {
+        changed.extend(std::mem::take(&mut self.changed_pages));
+        let to_compacted = |number: u32| {
+            self.update_page(number);
+            CompactedPage {
                 number,
-                content: self.page(number),
+                content: self.page_content(number),
             }
         };
-        touched.into_iter().map(write).collect()
+        changed.into_iter().map(to_compacted).collect()
     }
 
-    fn assign(&mut self, id: u64) {
+    /// Adds a job to the open page, or to a new one if the open page is full.
+    fn assign_page(&mut self, id: u64) {
         let Some(entry) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -157,10 +165,12 @@
         page.jobs.insert(id);
         page.size_bytes += size_bytes;
         entry.page = Some(self.open_page);
-        self.touched.insert(self.open_page);
+        self.changed_pages.insert(self.open_page);
     }
 
-    fn measure(&mut self, number: u32) {
+    /// Removes deleted jobs from a page and recomputes its size; drops the page if
+    /// it is empty.
+    fn update_page(&mut self, number: u32) {
         let Some(page) = self.pages.get_mut(&number) else {
             return;
         };
@@ -175,15 +185,17 @@
         }
     }
 
-    fn sparse(&self, touched: &BTreeSet<u32>) -> Vec<u32> {
+    /// Returns those of the changed pages, except the open one, that have become
+    /// too small.
+    fn sparse_pages(&self, changed: &BTreeSet<u32>) -> Vec<u32> {
         let is_sparse = |number: &&u32| {
             let page = self.pages.get(number);
             **number != self.open_page && page.is_some_and(|p| p.size_bytes < SPARSE_PAGE_BYTES)
         };
-        touched.iter().filter(is_sparse).copied().collect()
+        changed.iter().filter(is_sparse).copied().collect()
     }
 
-    fn page(&self, number: u32) -> PageRecord {
+    fn page_content(&self, number: u32) -> PageRecord {
         let jobs = self.pages.get(&number).map(|page| &page.jobs);
         PageRecord {
             jobs: jobs
@@ -194,12 +206,12 @@
         }
     }
 
-    /// All jobs in the order of their identities.
+    /// Returns all jobs in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = &JobRecord> {
         self.jobs.values().map(|entry| &entry.record)
     }
 
-    /// Number of jobs.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -210,7 +222,8 @@
     }
 }
 
-fn change_record(record: &mut JobRecord, kind: &ChangeKind) {
+/// Applies a change to the record of an accepted job.
+fn apply_to_record(record: &mut JobRecord, kind: &ChangeKind) {
     match kind {
         ChangeKind::Starting(change) => {
             record.attempt = change.attempt;
@@ -228,8 +241,8 @@
             record.outcome = change.outcome;
             record.ended_ms = change.ended_ms;
             record.answer = change.answer.clone();
-            // An ended job never starts again; only the key and the fields
-            // that make a resubmission equal are needed from now on.
+            // An ended job never starts again. Only its key and the fields that
+            // identify a resubmission as equal are needed from now on.
             if change.outcome != OutcomeCode::None as i32 {
                 record.starting_ms = 0;
             }
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,7 +1,10 @@
-//! What lasts of a cell, in the platform's key-value service.
+//! The ledger: the durable state of a data centre's decision core, kept in the
+//! platform's key-value service.
 //!
-//! A ledger is a small root value, changed by one compare-and-swap for each
-//! group of changes, and pages into which older changes are folded.
+//! A ledger consists of a small root value, which one compare-and-swap updates
+//! for each batch of changes, and of pages with the jobs. Changes are appended
+//! to the tail of the root and compacted into pages when the tail grows too
+//! large.
 
 mod envelope;
 mod job_pages;
@@ -16,7 +19,7 @@
     seal, //
 };
 pub use job_pages::{
-    FoldedPage,
+    CompactedPage,
     JobPages,
     PageRecord, //
 };
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -1,4 +1,4 @@
-//! What a ledger holds: jobs, and the changes made to them.
+//! The records of a ledger: jobs and the changes made to them.
 
 use crate::core::{
     Adjacency,
@@ -6,16 +6,16 @@
 };
 use bytes::Bytes;
 
-/// What a caller submits.
+/// A job as a caller submits it.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct Submission {
     /// Client account.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// Class of work.
+    /// Class of work, which sets the completion time and other terms.
     #[prost(string, tag = "2")]
     pub class: String,
-    /// The caller's own key; one key, one job.
+    /// The caller's idempotency key; at most one job of the account has it.
     #[prost(string, tag = "3")]
     pub idempotency_key: String,
     /// Accelerators on each worker.
@@ -24,16 +24,16 @@
     /// Workers of the gang.
     #[prost(uint32, tag = "5")]
     pub workers: u32,
-    /// How close the workers have to be.
+    /// How close to each other the workers have to be.
     #[prost(enumeration = "AdjacencyCode", tag = "6")]
     pub adjacency: i32,
-    /// Whether the job may be started again after it may have begun.
+    /// Whether the job may be started again after an attempt that may have begun.
     #[prost(bool, tag = "7")]
     pub idempotent: bool,
     /// The caller's estimate of the run time.
     #[prost(uint64, tag = "8")]
     pub declared_run_ms: u64,
-    /// What the task is given.
+    /// Input of the task.
     #[prost(bytes = "bytes", tag = "9")]
     pub payload: Bytes,
 }
@@ -61,7 +61,8 @@
 }
 
 impl Submission {
-    /// The shape asked for; counts beyond 16 bits saturate and fit nowhere.
+    /// Returns the requested shape. Counts beyond 16 bits saturate, which makes the
+    /// shape impossible to place.
     pub fn shape(&self) -> Shape {
         Shape {
             accelerators_per_worker: u16::try_from(self.accelerators_per_worker)
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sets the shape asked for.
+    /// Sets the requested shape.
     pub fn set_shape(&mut self, shape: Shape) {
         self.accelerators_per_worker = u32::from(shape.accelerators_per_worker);
         self.workers = u32::from(shape.workers);
@@ -83,19 +84,19 @@
     }
 }
 
-/// A job's whole answer, or where it is.
+/// The answer of a job, or the worker that stores it.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct AnswerRecord {
-    /// Worker that keeps the answer.
+    /// Worker that stores the answer.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Attempt that made it.
+    /// Attempt that produced the answer.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// Its length.
+    /// Length of the answer.
     #[prost(uint64, tag = "3")]
     pub size_bytes: u64,
-    /// Its SHA-256.
+    /// SHA-256 of the answer.
     #[prost(bytes = "bytes", tag = "4")]
     pub sha256: Bytes,
     /// The answer itself, if it is short.
@@ -107,24 +108,24 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub enum OutcomeCode {
-    /// Not ended.
+    /// The job has not ended.
     None = 0,
-    /// Ran once, whole.
+    /// The job ran once, completely.
     Served = 1,
-    /// Ran and failed.
+    /// The job ran and failed.
     Failed = 2,
-    /// Cancelled before it began.
+    /// The job was cancelled before it began.
     CancelledNotRun = 3,
-    /// Cancelled after it began.
+    /// The job was cancelled after it began.
     Cancelled = 4,
-    /// An attempt may have begun and its result is not known.
+    /// An attempt may have begun, and its result is unknown.
     MayHaveRun = 5,
-    /// Failed on several healthy workers.
+    /// The job failed on several healthy workers.
     UnableToRun = 6,
 }
 
 impl OutcomeCode {
-    /// The outcome as answers and counters name it.
+    /// Returns the name of the outcome in answers and counters.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -138,24 +139,24 @@
     }
 }
 
-/// One member of a gang's attempt.
+/// One member of a gang in an attempt.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct MemberRecord {
     /// Worker of the member.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Accelerators of the member, one bit each.
+    /// The member's accelerators as a bit mask.
     #[prost(uint32, tag = "2")]
     pub mask: u32,
 }
 
-/// Everything that lasts of one job.
+/// The durable state of one job.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct JobRecord {
-    /// The job's identity.
+    /// Id of the job.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What was submitted.
+    /// The submission.
     #[prost(message, required, tag = "2")]
     pub submission: Submission,
     /// When it was accepted, in milliseconds since the Unix epoch.
@@ -164,36 +165,37 @@
     /// Number of the latest attempt.
     #[prost(uint32, tag = "4")]
     pub attempt: u32,
-    /// Members of the latest attempt while it may be alive.
+    /// Members of the latest attempt, while it may be running.
     #[prost(message, repeated, tag = "5")]
     pub members: Vec<MemberRecord>,
-    /// Work that checkpoints have saved.
+    /// Progress that checkpoints have saved.
     #[prost(uint64, tag = "6")]
     pub progress_ms: u64,
-    /// How often it was preempted.
+    /// How often the job was preempted.
     #[prost(uint32, tag = "7")]
     pub preemptions: u32,
-    /// How often it failed.
+    /// How often the job failed.
     #[prost(uint32, tag = "8")]
     pub failures: u32,
-    /// How it ended.
+    /// How the job ended, as an [`OutcomeCode`].
     #[prost(enumeration = "OutcomeCode", tag = "9")]
     pub outcome: i32,
-    /// When it ended.
+    /// When the job ended.
     #[prost(uint64, tag = "10")]
     pub ended_ms: u64,
-    /// Its answer once served.
+    /// The answer, once the job is served.
     #[prost(message, optional, tag = "11")]
     pub answer: Option<AnswerRecord>,
-    /// When the latest attempt was committed to start.
+    /// When the start of the latest attempt was committed.
     #[prost(uint64, tag = "12")]
     pub starting_ms: u64,
-    /// Whether its account has cancelled it.
+    /// Whether the account has cancelled the job.
     #[prost(bool, tag = "13")]
     pub cancelling: bool,
 }
 
-/// One change to the ledger; the variants' order in time is the ledger's.
+/// One change to the ledger. Changes are stored in the order in which they were
+/// made.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct Change {
     /// What changed.
@@ -207,16 +209,16 @@
     /// A job was accepted.
     #[prost(message, tag = "1")]
     Accepted(JobRecord),
-    /// An attempt may start from now on.
+    /// An attempt was committed; from now on it may start.
     #[prost(message, tag = "2")]
     Starting(StartingChange),
-    /// The attempt is over and the job waits again.
+    /// The attempt ended and the job is queued again.
     #[prost(message, tag = "3")]
     Requeued(RequeuedChange),
     /// The job ended.
     #[prost(message, tag = "4")]
     Ended(EndedChange),
-    /// The job's retention is over.
+    /// The retention time of the ended job has expired; the job is deleted.
     #[prost(uint64, tag = "5")]
     Forgotten(u64),
     /// The account has cancelled the job.
@@ -224,7 +226,7 @@
     Cancelling(u64),
 }
 
-/// An attempt may start from now on.
+/// An attempt was committed; from now on it may start.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct StartingChange {
     /// The job.
@@ -233,27 +235,27 @@
     /// Number of the attempt.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// Its members.
+    /// Members of the attempt.
     #[prost(message, repeated, tag = "3")]
     pub members: Vec<MemberRecord>,
-    /// When.
+    /// When the start was committed.
     #[prost(uint64, tag = "4")]
     pub starting_ms: u64,
 }
 
-/// The attempt is over and the job waits again.
+/// The attempt ended and the job is queued again.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct RequeuedChange {
     /// The job.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Work that checkpoints have saved.
+    /// Progress that checkpoints have saved.
     #[prost(uint64, tag = "2")]
     pub progress_ms: u64,
-    /// How often it was preempted.
+    /// How often the job was preempted.
     #[prost(uint32, tag = "3")]
     pub preemptions: u32,
-    /// How often it failed.
+    /// How often the job failed.
     #[prost(uint32, tag = "4")]
     pub failures: u32,
 }
@@ -264,13 +266,13 @@
     /// The job.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// How.
+    /// How the job ended, as an [`OutcomeCode`].
     #[prost(enumeration = "OutcomeCode", tag = "2")]
     pub outcome: i32,
-    /// When.
+    /// When the job ended.
     #[prost(uint64, tag = "3")]
     pub ended_ms: u64,
-    /// Its answer once served.
+    /// The answer, once the job is served.
     #[prost(message, optional, tag = "4")]
     pub answer: Option<AnswerRecord>,
 }
--- a/src/ledger/root.rs
+++ b/src/ledger/root.rs
@@ -1,4 +1,4 @@
-//! The root value of a ledger: who owns it, its pages and the latest changes.
+//! The root value of a ledger: its owner, its pages and the latest changes.
 
 use super::{
     Change,
@@ -9,8 +9,9 @@
 use bytes::Bytes;
 use prost::Message;
 
-/// Where a page is stored. Each page has two slots, so that the one which the
-/// root names is never overwritten before the root names the other.
+/// Where a page is stored. Each page has two slots that are written in turn, so
+/// that the slot to which the root refers is not overwritten before the root
+/// refers to the other one.
 #[derive(Clone, Copy, Eq, PartialEq, prost::Message)]
 pub struct PageRef {
     /// Number of the page.
@@ -24,48 +25,48 @@
     pub checksum: u32,
 }
 
-/// The root.
+/// The content of the root value.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct RootRecord {
-    /// Epoch of the owner that wrote it.
+    /// Epoch of the owner that wrote the root.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Name of the write; tells after a lost answer whose write took effect.
+    /// Id of the write. After a lost answer it shows whose write took effect.
     #[prost(uint64, tag = "2")]
     pub write_id: u64,
-    /// Commits so far.
+    /// Number of commits to the ledger so far.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Configuration version with which the owner decided.
+    /// Version of the configuration with which the owner decided.
     #[prost(uint64, tag = "4")]
     pub configuration_version: u64,
-    /// The daemon that wrote it.
+    /// Name of the daemon that wrote the root.
     #[prost(string, tag = "5")]
     pub owner: String,
     /// The pages.
     #[prost(message, repeated, tag = "6")]
     pub pages: Vec<PageRef>,
-    /// Changes since the pages were folded.
+    /// Changes since the last compaction, in order.
     #[prost(message, repeated, tag = "7")]
     pub tail: Vec<Change>,
 }
 
-/// Key of a cell's root.
+/// Returns the key of a data centre's root.
 pub fn root_key(data_centre: &str) -> String {
     format!("cell/{data_centre}/root")
 }
 
-/// Key of a cell's owner lease.
+/// Returns the key of a data centre's owner lease.
 pub fn lease_key(data_centre: &str) -> String {
     format!("cell/{data_centre}/owner")
 }
 
-/// Key of a page's slot.
+/// Returns the key of a slot of a page.
 pub fn page_key(data_centre: &str, number: u32, slot: u32) -> String {
     format!("cell/{data_centre}/page/{number}/{slot}")
 }
 
-/// Encodes a root or a page.
+/// Encodes a root or a page in an envelope.
 pub fn encode(record: &impl Message) -> Bytes {
     envelope::seal(&record.encode_to_vec())
 }
@@ -74,17 +75,17 @@
 ///
 /// # Errors
 ///
-/// The value is torn, damaged, oversized or of an unknown version.
+/// Fails if the value is truncated, damaged, oversized or of an unknown version.
 pub fn decode_root(value: Bytes) -> Result<RootRecord, EnvelopeError> {
     RootRecord::decode(envelope::open(value)?).map_err(|_| EnvelopeError::Content)
 }
 
-/// Decodes a page and checks it against the root's reference.
+/// Decodes a page and checks it against the reference in the root.
 ///
 /// # Errors
 ///
-/// The value is torn, damaged, oversized, of an unknown version, or not the
-/// one that the root names.
+/// Fails if the value is truncated, damaged, oversized, of an unknown version, or
+/// not the one to which the root refers.
 pub fn decode_page(value: Bytes, reference: &PageRef) -> Result<PageRecord, EnvelopeError> {
     if crc32fast::hash(&value) != reference.checksum {
         return Err(EnvelopeError::Checksum);
--- a/src/owner/effects.rs
+++ b/src/owner/effects.rs
@@ -1,4 +1,7 @@
-//! Carrying out what the core decides, in the order that durability asks for.
+//! Executes the effects that the core decides on.
+//!
+//! A gated effect is executed only after every change that the core requested
+//! before it is durable in the ledger.
 
 use super::{
     Owner,
@@ -15,7 +18,9 @@
 use crate::ledger::OutcomeCode;
 
 impl Owner {
-    /// Lets the core decide and sorts what it wants done.
+    /// Applies a command to the core. Changes go to the journal, gated effects
+    /// wait until those changes are durable, and all other effects are executed
+    /// at once.
     pub(super) fn apply(&mut self, command: Command) {
         let now_ms = self.now_ms;
         let Phase::Owning(owning) = &mut self.phase else {
@@ -30,13 +35,13 @@
             } else if effect.is_gated() {
                 owning.gated.push_back((owning.journal.pushed(), effect));
             } else {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
 
-    /// Carries out the effects whose changes have become durable.
-    pub(super) fn release_gated(&mut self) {
+    /// Executes the gated effects whose changes have become durable.
+    pub(super) fn execute_durable_effects(&mut self) {
         loop {
             let Phase::Owning(owning) = &mut self.phase else {
                 return;
@@ -47,12 +52,14 @@
                 _ => return,
             }
             if let Some((_, effect)) = owning.gated.pop_front() {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Executes one effect: calls a worker, replies to a request, or counts and
+    /// logs what happened.
+    pub(super) fn execute(&mut self, effect: Effect) {
         let epoch = self.epoch().unwrap_or(0);
         let expires_ms = self.settings.reservation_ms;
         match effect {
@@ -129,6 +136,7 @@
         }
     }
 
+    /// Counts the end of a job and replies to the requests that wait for it.
     pub(super) fn job_ended(&mut self, job: JobId, code: OutcomeCode) {
         metrics::counter!("fuchsiaslip_ended_total", "outcome" => code.name()).increment(1);
         if code == OutcomeCode::UnableToRun {
--- a/src/owner/message.rs
+++ b/src/owner/message.rs
@@ -1,4 +1,4 @@
-//! What goes into an owner and what comes out.
+//! The events that an owner handles and the actions that it requests.
 
 use crate::backend::{
     StoreAnswer,
@@ -22,35 +22,35 @@
 use crate::ledger::AnswerRecord;
 use std::sync::Arc;
 
-/// Identity of a call under way; answers to any other are dropped.
+/// Identifies a call in flight. Answers to any other call are dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallId(pub u64);
 
-/// What a caller, through an entry, wants of the owner.
+/// A caller's request, forwarded to the owner by an API front end.
 #[derive(Clone, Debug)]
 pub enum Request {
     /// Accept a job.
     Submit {
         /// The job.
         submission: Submission,
-        /// When the entry got it from the caller; tells a late copy from a new
-        /// try with the same key.
+        /// When the front end received it from the caller, which distinguishes
+        /// a delayed copy from a retry with the same key.
         asked_ms: u64,
     },
-    /// Answer when the job has ended.
+    /// Reply when the job has ended.
     Wait(JobId),
-    /// Explain a job.
+    /// Report the state of a job and why it is in that state.
     Explain(JobId),
-    /// Cancel jobs of one account.
+    /// Cancel jobs of one client account.
     Cancel {
-        /// The account whose jobs they have to be.
+        /// The account; jobs of other accounts are left alone.
         account: String,
         /// The jobs.
         jobs: Vec<JobId>,
     },
-    /// Report the accounts.
+    /// Report the accounts and the fragmentation of the data centre.
     Accounts,
-    /// Report the workers.
+    /// Report all workers.
     Workers,
 }
 
@@ -59,30 +59,32 @@
 pub struct Ended {
     /// The job.
     pub report: JobReport,
-    /// Its answer, if it was served.
+    /// The job's answer, if it was served.
     pub answer: Option<AnswerRecord>,
-    /// Address of the worker that keeps the answer.
+    /// Address of the worker that stores the answer.
     pub answer_address: Option<String>,
 }
 
-/// The owner's answer to a request.
+/// The owner's reply to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The job is accepted and will be accounted for.
+    /// The job is accepted: its acceptance is durable.
     Accepted(JobId),
-    /// The job did not run and will not run.
+    /// The submission is refused. Only if [`Refusal::not_run`] is set is it
+    /// certain that the job did not and will not run.
     Refused(Refusal),
     /// The job has ended.
     Ended(Box<Ended>),
-    /// A job's state.
+    /// The state of a job.
     Job(Box<JobReport>),
-    /// No such job.
+    /// The owner knows no such job.
     NotFound,
-    /// So many of the jobs were the account's and had not ended.
+    /// The number of jobs that are being cancelled: those that belong to the
+    /// account and had not ended.
     Cancelled(u32),
     /// The accounts and the fragmentation.
     Accounts {
-        /// One for each account.
+        /// One report for each account.
         accounts: Vec<AccountReport>,
         /// Fragmentation from 0 to 1.
         fragmentation: f64,
@@ -93,54 +95,55 @@
     Workers(Vec<WorkerReport>),
     /// This daemon does not own the data centre; nothing was done.
     NotOwner,
-    /// Ownership was lost before the request was durable: whether it took
-    /// effect is for the next owner to say, by the same key.
+    /// It is not known whether the request took effect, for example because
+    /// ownership was lost before the request was durable. A retry with the same
+    /// idempotency key tells.
     OutcomeUnknown,
 }
 
-/// A change that a worker monitor saw on a worker.
+/// What a worker monitor observed on a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerUpdate {
-    /// Tasks changed.
+    /// Tasks changed their states.
     Changes(Vec<TaskChange>),
-    /// No renewal has reached it for so long.
+    /// The worker does not respond.
     Silent {
-        /// For how long.
+        /// Time since its lease was last renewed.
         silent_ms: u64,
     },
-    /// It answers.
+    /// The worker responded.
     Seen {
-        /// Changes whenever the worker restarts and has forgotten its tasks.
+        /// Changes with each restart, in which the worker loses its tasks.
         incarnation: u64,
-        /// Whether it says that it is leaving.
+        /// Whether the worker reports that it is leaving.
         leaving: bool,
     },
 }
 
-/// What can happen to an owner.
+/// An input of an owner.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A request; the reply carries the token back.
+    /// A request; its reply carries the same token.
     Request {
         /// The request's token.
         token: u64,
-        /// What is wanted.
+        /// The request.
         request: Request,
     },
-    /// The store answered, or did not.
+    /// A call to the store was answered or failed.
     Store {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// How.
+        /// The answer or the failure.
         result: Result<StoreAnswer, StoreFailure>,
     },
-    /// A worker answered, or did not.
+    /// A call to a worker was answered or failed.
     Worker {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// How.
+        /// The answer or the failure.
         result: Result<WorkerAnswer, WorkerFailure>,
     },
     /// A worker monitor reports a change on a worker.
@@ -152,21 +155,20 @@
     },
     /// A version of the configuration.
     Configuration(Arc<Configuration>),
-    /// The configuration version in force was confirmed to be the current one
-    /// at this time.
+    /// The configuration version in force was confirmed to be the current one.
     ConfigurationConfirmed {
-        /// When the question was asked.
+        /// When the confirmation was requested; the version was current then.
         asked_ms: u64,
     },
-    /// The platform's list of this data centre's VMs.
+    /// The platform's list of VMs in this data centre.
     Members(Vec<VmRecord>),
-    /// Whether this daemon is a candidate for an ownership that is vacant.
+    /// Whether this daemon is a candidate for a vacant ownership.
     Candidacy(bool),
-    /// Take nothing new and hand the ownership over.
+    /// Accept no more submissions and release the ownership.
     Drain,
 }
 
-/// What an owner wants done.
+/// An action that the caller of [`Owner::handle`](super::Owner::handle) executes.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Call the store.
@@ -182,7 +184,7 @@
         call: CallId,
         /// The worker's name.
         worker: String,
-        /// Its address.
+        /// The worker's address; empty if unknown.
         address: String,
         /// The call.
         request: WorkerCall,
--- a/src/owner/outbox.rs
+++ b/src/owner/outbox.rs
@@ -1,4 +1,4 @@
-//! Calls to workers that are under way or to be repeated.
+//! Calls to workers that are in flight or scheduled, with their retries.
 
 use super::CallId;
 use crate::backend::{
@@ -16,11 +16,12 @@
     HashMap, //
 };
 
-/// A reservation is given up after so many calls without an answer.
+/// A reservation is abandoned after this number of unanswered calls.
 const MAX_RESERVE_TRIES: u32 = 3;
 const FIRST_RETRY_MS: u64 = 200;
 const MAX_RETRY_MS: u64 = 2_000;
-/// A stop that the worker has taken is asked about again after its grace.
+/// Time from the end of the grace period of a stop that the worker accepted to
+/// the repeated call that checks whether the task has stopped.
 const STOP_CHECK_MS: u64 = 1_000;
 
 /// A call to one worker.
@@ -30,28 +31,30 @@
     pub worker: String,
     /// The call.
     pub call: WorkerCall,
+    /// Number of times that the call was sent.
     tries: u32,
 }
 
-/// What the answer to a call means.
+/// What the result of a call means for the decision core.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Meaning {
-    /// News of the member.
+pub enum CallOutcome {
+    /// An event of the gang member that the call is about.
     Event(MemberEvent),
-    /// Nothing to do now.
+    /// Nothing for the core.
     Nothing,
 }
 
-/// The calls of one owner.
+/// The calls to workers of one owner.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    under_way: HashMap<CallId, Outgoing>,
+    in_flight: HashMap<CallId, Outgoing>,
+    /// Scheduled calls by due time and sequence number.
     due: BTreeMap<(u64, u64), Outgoing>,
-    next_due: u64,
+    last_sequence: u64,
 }
 
 impl Outbox {
-    /// Notes that `call` is due at `at_ms`.
+    /// Schedules `call` for `at_ms`.
     pub fn push(&mut self, worker: &str, call: WorkerCall, at_ms: u64) {
         self.schedule(
             Outgoing {
@@ -64,80 +67,88 @@
     }
 
     fn schedule(&mut self, outgoing: Outgoing, at_ms: u64) {
-        self.next_due += 1;
-        self.due.insert((at_ms, self.next_due), outgoing);
+        self.last_sequence += 1;
+        self.due.insert((at_ms, self.last_sequence), outgoing);
     }
 
-    /// The next call that is due.
+    /// Removes and returns the earliest scheduled call, if it is due.
     pub fn take_due(&mut self, now_ms: u64) -> Option<Outgoing> {
-        let (&at, _) = self.due.first_key_value()?;
-        match at.0 <= now_ms {
-            true => self.due.remove(&at),
+        let (&key, _) = self.due.first_key_value()?;
+        match key.0 <= now_ms {
+            true => self.due.remove(&key),
             false => None,
         }
     }
 
-    /// Notes that a call was made.
+    /// Records that a call was sent under `id`.
     pub fn sent(&mut self, id: CallId, mut outgoing: Outgoing) {
         outgoing.tries += 1;
-        self.under_way.insert(id, outgoing);
+        self.in_flight.insert(id, outgoing);
     }
 
-    /// The call of `id`, no longer under way.
+    /// Removes and returns the call in flight with this id.
     pub fn take(&mut self, id: CallId) -> Option<Outgoing> {
-        self.under_way.remove(&id)
+        self.in_flight.remove(&id)
     }
 
-    /// What the silence of a worker means: the call is made again, as it has
-    /// one effect however often it arrives, but a reservation is given up in
-    /// the end, since nothing can begin without its start.
-    pub fn silent(&mut self, outgoing: Outgoing, now_ms: u64) -> Meaning {
-        let reserving = matches!(outgoing.call, WorkerCall::Reserve { .. });
-        if reserving && outgoing.tries >= MAX_RESERVE_TRIES {
-            return Meaning::Event(MemberEvent::ReserveRefused);
+    /// Handles a call without an answer. The call is repeated with back-off,
+    /// since all calls are idempotent. A reservation is abandoned after
+    /// `MAX_RESERVE_TRIES`: without a start call its task cannot begin, so that
+    /// abandoning it is safe.
+    pub fn unanswered(&mut self, outgoing: Outgoing, now_ms: u64) -> CallOutcome {
+        let is_reservation = matches!(outgoing.call, WorkerCall::Reserve { .. });
+        if is_reservation && outgoing.tries >= MAX_RESERVE_TRIES {
+            return CallOutcome::Event(MemberEvent::ReserveRefused);
         }
         let wait_ms = (FIRST_RETRY_MS << outgoing.tries.min(8)).min(MAX_RETRY_MS);
         self.schedule(outgoing, now_ms + wait_ms);
-        Meaning::Nothing
+        CallOutcome::Nothing
     }
 
-    /// What an answer means.
-    pub fn answered(&mut self, outgoing: &Outgoing, answer: WorkerAnswer, now_ms: u64) -> Meaning {
+    /// Handles the worker's answer to a call.
+    pub fn answered(
+        &mut self,
+        outgoing: &Outgoing,
+        answer: WorkerAnswer,
+        now_ms: u64,
+    ) -> CallOutcome {
         match (&outgoing.call, answer) {
-            // A newer owner is at work; this one is about to learn it from the
-            // ledger, and decides nothing on this answer.
-            (_, WorkerAnswer::Refused(WorkerRefusal::StaleEpoch)) => Meaning::Nothing,
+            // There is a newer owner. This one will be fenced by the ledger
+            // and decides nothing on this answer.
+            (_, WorkerAnswer::Refused(WorkerRefusal::StaleEpoch)) => CallOutcome::Nothing,
             (WorkerCall::Reserve { .. }, WorkerAnswer::Done) => {
-                Meaning::Event(MemberEvent::Reserved)
+                CallOutcome::Event(MemberEvent::Reserved)
             }
             (WorkerCall::Reserve { .. }, WorkerAnswer::Refused(_)) => {
-                Meaning::Event(MemberEvent::ReserveRefused)
+                CallOutcome::Event(MemberEvent::ReserveRefused)
+            }
+            (WorkerCall::Start { .. }, WorkerAnswer::Done) => {
+                CallOutcome::Event(MemberEvent::Started)
             }
-            (WorkerCall::Start { .. }, WorkerAnswer::Done) => Meaning::Event(MemberEvent::Started),
             (WorkerCall::Start { .. }, WorkerAnswer::Refused(WorkerRefusal::CannotStart)) => {
-                Meaning::Event(MemberEvent::StartRefused)
+                CallOutcome::Event(MemberEvent::StartRefused)
             }
             (WorkerCall::Start { .. }, WorkerAnswer::Refused(_)) => {
-                Meaning::Event(MemberEvent::ReserveRefused)
+                CallOutcome::Event(MemberEvent::ReserveRefused)
             }
             (WorkerCall::Stop { .. }, WorkerAnswer::State(TaskState::Unknown)) => {
-                Meaning::Event(MemberEvent::Stopped { progress_ms: 0 })
+                CallOutcome::Event(MemberEvent::Stopped { progress_ms: 0 })
             }
             (WorkerCall::Stop { grace_ms, .. }, WorkerAnswer::Done) => {
-                let again = Outgoing {
+                let check = Outgoing {
                     tries: 0,
                     ..outgoing.clone()
                 };
-                self.schedule(again, now_ms + grace_ms + STOP_CHECK_MS);
-                Meaning::Nothing
+                self.schedule(check, now_ms + grace_ms + STOP_CHECK_MS);
+                CallOutcome::Nothing
             }
-            (_, WorkerAnswer::State(state)) => Meaning::Event(event_of(state)),
-            _ => Meaning::Nothing,
+            (_, WorkerAnswer::State(state)) => CallOutcome::Event(event_of(state)),
+            _ => CallOutcome::Nothing,
         }
     }
 }
 
-/// The attempt that a call is about.
+/// Returns the attempt that a call is about.
 pub fn attempt_of(call: &WorkerCall) -> Option<AttemptId> {
     match call {
         WorkerCall::Reserve { attempt, .. }
@@ -148,7 +159,7 @@
     }
 }
 
-/// What a task's state means for its member.
+/// Converts the state of a task into the event for its gang member.
 pub fn event_of(state: TaskState) -> MemberEvent {
     match state {
         TaskState::Unknown => MemberEvent::Unknown,
--- a/src/owner/requests.rs
+++ b/src/owner/requests.rs
@@ -1,4 +1,7 @@
-//! Requests of callers, and what the owner cannot vouch for.
+//! Handles requests of callers.
+//!
+//! A refusal says that a job did not run and will not run only if the owner can
+//! be certain of it: its lease is valid and its ledger does not know the key.
 
 use super::{
     Action,
@@ -19,31 +22,34 @@
 use crate::events;
 use crate::ledger::OutcomeCode;
 
-/// When a caller may ask again after a refusal that has nothing to do with its
-/// job.
+/// When a caller may retry after a refusal whose reason is transient and does
+/// not depend on its job.
 const TRANSIENT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// A submission that took longer from its entry to the owner is not decided on.
+/// A submission that takes longer from the API front end to the owner is not
+/// decided on.
 const MAX_REQUEST_AGE_MS: u64 = 30_000;
-/// From this number on refusals are looked through for those that are too old
-/// to matter, and again whenever what was left has doubled.
-pub(super) const FIRST_REVIEW_OF_REFUSALS: usize = 4_096;
-/// Waiters of one job; more are asked to come again.
+/// Number of remembered refusals at which expired ones are first removed. They
+/// are removed again whenever the number of those that remained has doubled.
+pub(super) const FIRST_REFUSAL_PURGE: usize = 4_096;
+/// Limit of requests that wait for the end of one job. Further ones get the
+/// reply that the outcome is unknown, and retry.
 const MAX_WAITERS: usize = 64;
 
 /// Account and idempotency key of a submission.
 pub(super) type SubmissionKey = (String, String);
 
-/// A refusal that said "not run".
+/// A refusal that stated that the job did not and will not run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RememberedRefusal {
     refusal: Refusal,
     asked_ms: u64,
-    at_ms: u64,
+    refused_ms: u64,
 }
 
 impl Owner {
-    pub(super) fn request(&mut self, token: u64, request: Request) {
+    /// Replies to a request, or passes it to the core.
+    pub(super) fn handle_request(&mut self, token: u64, request: Request) {
         let Phase::Owning(owning) = &self.phase else {
             return self.reply(token, Reply::NotOwner);
         };
@@ -87,55 +93,66 @@
             submission.account.clone(),
             submission.idempotency_key.clone(),
         );
-        // A copy that was on its way when the key was refused must not be
-        // accepted now: the caller was told that the job will not run. A new
-        // try of the caller was asked later than the one that was refused.
-        if let Some(earlier) = self.refused.get(&key).filter(|r| asked_ms <= r.asked_ms) {
+        // A copy of a refused request that arrives late must not be accepted:
+        // the caller was told that the job will not run. A retry by the caller
+        // has a later `asked_ms` than the refused request.
+        if let Some(earlier) = self
+            .recent_refusals
+            .get(&key)
+            .filter(|r| asked_ms <= r.asked_ms)
+        {
             let refusal = earlier.refusal;
             return self.reply(token, Reply::Refused(refusal));
         }
-        if let Some(reason) = self.cannot_accept() {
-            let reply = self.passing_refusal(&key, reason);
-            self.note_refusal(key, asked_ms, &reply);
+        if let Some(reason) = self.reason_to_refuse() {
+            let reply = self.transient_refusal(&key, reason);
+            self.record_refusal(key, asked_ms, &reply);
             return self.reply(token, reply);
         }
         self.apply(Command::Submit { token, submission });
-        let refused = self.actions.iter().rev().find_map(|action| match action {
-            Action::Reply { token: at, reply } if *at == token => Some(reply.clone()),
+        let immediate_reply = self.actions.iter().rev().find_map(|action| match action {
+            Action::Reply {
+                token: replied_token,
+                reply,
+            } if *replied_token == token => Some(reply.clone()),
             _ => None,
         });
-        if let Some(reply) = refused {
-            self.note_refusal(key, asked_ms, &reply);
+        if let Some(reply) = immediate_reply {
+            self.record_refusal(key, asked_ms, &reply);
         }
     }
 
-    /// Refuses for a passing reason. A key that the ledger knows belongs to a
-    /// job that was accepted, so "not run" would be a lie; and an owner whose
-    /// lease may be over cannot know what the next one has accepted.
-    fn passing_refusal(&self, key: &SubmissionKey, reason: RefusalReason) -> Reply {
+    /// Returns the reply to a submission that cannot be accepted for a transient
+    /// reason. A key that the ledger knows belongs to an accepted job, which may
+    /// have run. An owner whose lease may have expired does not know what the
+    /// next owner has accepted, so that it cannot say "not run" either.
+    fn transient_refusal(&self, key: &SubmissionKey, reason: RefusalReason) -> Reply {
         let known = self.cell().and_then(|cell| cell.job_of_key(&key.0, &key.1));
-        let vouches = self.lease.is_valid(self.now_ms);
+        let lease_is_valid = self.lease.is_valid(self.now_ms);
         match known {
-            Some(job) if self.is_durable(job) && vouches => Reply::Accepted(job),
+            Some(job) if self.is_acceptance_durable(job) && lease_is_valid => Reply::Accepted(job),
             Some(_) => Reply::OutcomeUnknown,
             None => Reply::Refused(Refusal {
                 reason,
-                not_run: vouches,
+                not_run: lease_is_valid,
                 retry_after_ms: TRANSIENT_RETRY_AFTER_MS,
             }),
         }
     }
 
-    fn is_durable(&self, job: JobId) -> bool {
+    /// Whether the acceptance of the job is durable.
+    fn is_acceptance_durable(&self, job: JobId) -> bool {
         let Phase::Owning(owning) = &self.phase else {
             return false;
         };
-        let accepts =
+        let is_acceptance =
             |effect: &Effect| matches!(effect, Effect::Accepted { job: id, .. } if *id == job);
-        !owning.gated.iter().any(|(_, effect)| accepts(effect))
+        !owning.gated.iter().any(|(_, effect)| is_acceptance(effect))
     }
 
-    fn note_refusal(&mut self, key: SubmissionKey, asked_ms: u64, reply: &Reply) {
+    /// Remembers a refusal that said "not run", so that a late copy of the same
+    /// request is refused too.
+    fn record_refusal(&mut self, key: SubmissionKey, asked_ms: u64, reply: &Reply) {
         let Reply::Refused(refusal) = reply else {
             return;
         };
@@ -143,52 +160,55 @@
             return;
         }
         let now_ms = self.now_ms;
-        if self.refused.len() >= self.review_refused_at {
-            self.refused
-                .retain(|_, earlier| earlier.at_ms + MAX_REQUEST_AGE_MS >= now_ms);
-            // In a storm of refusals all of them are young; looking through
-            // them again at each one would make the storm worse.
-            self.review_refused_at = (self.refused.len() * 2).max(FIRST_REVIEW_OF_REFUSALS);
+        if self.recent_refusals.len() >= self.purge_refusals_at {
+            self.recent_refusals
+                .retain(|_, earlier| earlier.refused_ms + MAX_REQUEST_AGE_MS >= now_ms);
+            // In a burst of refusals all of them are recent, and scanning them
+            // at each new one would add to the overload.
+            self.purge_refusals_at = (self.recent_refusals.len() * 2).max(FIRST_REFUSAL_PURGE);
         }
         let earlier = RememberedRefusal {
             refusal: *refusal,
             asked_ms,
-            at_ms: now_ms,
+            refused_ms: now_ms,
         };
-        self.refused.insert(key, earlier);
+        self.recent_refusals.insert(key, earlier);
     }
 
-    /// Why nothing can be accepted now. Each of these is found before the core
-    /// has seen the job, so that "not run" is true.
-    pub(super) fn cannot_accept(&self) -> Option<RefusalReason> {
+    /// Returns why no submission can be accepted now, if so. This is checked
+    /// before the core gets the job, so that "not run" is true.
+    pub(super) fn reason_to_refuse(&self) -> Option<RefusalReason> {
         let Phase::Owning(owning) = &self.phase else {
             return Some(RefusalReason::NoOwner);
         };
         let slow = owning
-            .commit_since_ms
-            .is_some_and(|since| self.now_ms > since + self.settings.commit_bound_ms);
+            .commit_started_ms
+            .is_some_and(|started_ms| self.now_ms > started_ms + self.settings.commit_bound_ms);
         if self.draining {
             Some(RefusalReason::Draining)
         } else if slow || !self.lease.is_valid(self.now_ms) {
             Some(RefusalReason::StoreUnavailable)
-        } else if self.is_stale() {
+        } else if self.is_configuration_stale() {
             Some(RefusalReason::ConfigurationStale)
         } else {
             None
         }
     }
 
-    pub(super) fn is_stale(&self) -> bool {
+    /// Whether the last confirmation of the configuration is too old.
+    pub(super) fn is_configuration_stale(&self) -> bool {
         let bound_ms = self.settings.configuration_bound_ms;
         self.configuration_confirmed_ms
             .is_none_or(|confirmed_ms| self.now_ms > confirmed_ms + bound_ms)
     }
 
-    /// Starts nothing new while a patch may be in force elsewhere that is not
-    /// in force here, nor while the lease or the drain forbids it.
-    pub(super) fn pause_if_stale(&mut self) {
-        let pause = self.is_stale() || self.draining || !self.lease.is_valid(self.now_ms);
-        let stale = self.is_stale();
+    /// Pauses the placement of work, or resumes it. It is paused while the
+    /// configuration is stale, since a newer version may be in force elsewhere,
+    /// while the lease is not valid, and during a drain.
+    pub(super) fn update_pause(&mut self) {
+        let pause =
+            self.is_configuration_stale() || self.draining || !self.lease.is_valid(self.now_ms);
+        let stale = self.is_configuration_stale();
         let Phase::Owning(owning) = &mut self.phase else {
             return;
         };
@@ -205,6 +225,7 @@
         self.apply(Command::Pause(pause));
     }
 
+    /// Replies with the end of a job, now or when it has ended.
     pub(super) fn wait(&mut self, token: u64, job: JobId) {
         let Phase::Owning(owning) = &mut self.phase else {
             return;
@@ -213,11 +234,11 @@
             None => return self.reply(token, Reply::NotFound),
             Some(known) => known.outcome != OutcomeCode::None,
         };
-        // The end is told only once it is durable: a job whose end is still
-        // gated keeps its waiters until then.
-        let told_later =
+        // The end is reported only once it is durable: requests wait while the
+        // effect that reports it is gated.
+        let reports_end =
             |effect: &Effect| matches!(effect, Effect::Ended { job: id, .. } if *id == job);
-        if ended && !owning.gated.iter().any(|(_, effect)| told_later(effect)) {
+        if ended && !owning.gated.iter().any(|(_, effect)| reports_end(effect)) {
             let reply = self.ended_reply(job);
             return self.reply(token, reply);
         }
@@ -228,6 +249,7 @@
         waiters.push(token);
     }
 
+    /// Builds the reply that a job has ended.
     pub(super) fn ended_reply(&self, job: JobId) -> Reply {
         let Phase::Owning(owning) = &self.phase else {
             return Reply::NotOwner;
--- a/src/owner/state.rs
+++ b/src/owner/state.rs
@@ -1,4 +1,7 @@
-//! The owner's state and the way events change it.
+//! The owner's state and the dispatch of events.
+//!
+//! A daemon is idle, reads the ledger as the holder of the lease, or owns the
+//! data centre. Only in the last state does it have a decision core.
 
 use super::{
     Action,
@@ -6,7 +9,7 @@
     Event,
     lease::Lease,
     outbox::Outbox,
-    requests::FIRST_REVIEW_OF_REFUSALS,
+    requests::FIRST_REFUSAL_PURGE,
     requests::RememberedRefusal,
     requests::SubmissionKey, //
 };
@@ -31,37 +34,37 @@
 };
 use std::sync::Arc;
 
-/// Times and names of an owner.
+/// Settings of an owner.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The data centre.
     pub data_centre: String,
-    /// Name of the daemon, unique for each process started.
+    /// Name of the daemon, unique to each start of the process.
     pub daemon: String,
-    /// First of a range of write names that no other process uses.
+    /// First of a range of ids of ledger writes that no other process uses.
     pub first_write_id: u64,
-    /// Length of the owner's lease.
+    /// Duration of the owner lease.
     pub lease_ttl_ms: u64,
-    /// How much earlier than the store the owner thinks its lease over.
+    /// How much earlier than the store the owner treats its lease as expired.
     pub lease_margin_ms: u64,
-    /// How long a worker's tasks go on without a renewal.
+    /// Duration of a worker's lease: how long its tasks run without a renewal.
     pub worker_lease_ms: u64,
-    /// How much longer the owner waits before it takes them for stopped.
+    /// How much longer the owner waits before it treats those tasks as stopped.
     pub worker_margin_ms: u64,
-    /// How long a reservation stands without a start.
+    /// How long a worker keeps a reservation without a start.
     pub reservation_ms: u64,
-    /// How old a confirmation of the configuration may be.
+    /// Maximum age of the confirmation of the configuration.
     pub configuration_bound_ms: u64,
     /// How long a commit may take before new submissions are refused.
     pub commit_bound_ms: u64,
-    /// How often the core looks at what is due.
+    /// Interval at which the core handles what has become due.
     pub core_tick_ms: u64,
-    /// Bounds of the decision core.
+    /// Limits of the decision core.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// The defaults that the daemon runs with.
+    /// Returns the daemon's default settings.
     pub fn new(data_centre: &str, daemon: &str, first_write_id: u64) -> Self {
         Self {
             data_centre: data_centre.to_owned(),
@@ -80,30 +83,33 @@
     }
 }
 
+/// Whether the daemon owns the data centre.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Not the owner.
+    /// Not the owner. May be a candidate.
     Idle,
-    /// Holds the lease and reads the ledger.
+    /// Holds the lease, reads the ledger and writes its epoch to the root.
     Opening(Box<Journal>),
     /// The owner.
     Owning(Box<Owning>),
 }
 
-/// What only an owner has.
+/// State that exists only while the daemon is the owner.
 #[derive(Debug)]
 pub(super) struct Owning {
     pub(super) journal: Journal,
     pub(super) cell: Cell,
-    /// Effects that wait for the change of this number to be durable.
+    /// Effects, each with the number of the change that has to be durable first.
     pub(super) gated: VecDeque<(u64, Effect)>,
     pub(super) outbox: Outbox,
+    /// Tokens of the requests that wait for the end of a job.
     pub(super) waiters: HashMap<JobId, Vec<u64>>,
-    /// Incarnation of each worker that a worker monitor has reported.
+    /// Last incarnation that a worker monitor reported for each worker.
     pub(super) incarnations: HashMap<String, u64>,
     pub(super) next_core_tick_ms: u64,
-    /// Since when a commit is under way.
-    pub(super) commit_since_ms: Option<u64>,
+    /// Start of the commit in progress.
+    pub(super) commit_started_ms: Option<u64>,
+    /// Whether the core is told not to place work.
     pub(super) paused: bool,
 }
 
@@ -118,23 +124,29 @@
     pub(super) draining: bool,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) configuration_confirmed_ms: Option<u64>,
+    /// VMs of the data centre by name, those no longer listed included.
     pub(super) members: BTreeMap<String, VmRecord>,
-    pub(super) says_leaving: HashSet<String>,
-    pub(super) next_call: u64,
+    /// Workers that report that they are leaving.
+    pub(super) self_reported_leaving: HashSet<String>,
+    pub(super) last_call_id: u64,
+    /// The journal's store call in flight.
     pub(super) journal_call: Option<CallId>,
+    /// The lease request in flight.
     pub(super) lease_call: Option<CallId>,
+    /// When the failed store call of the journal is repeated.
     pub(super) journal_retry_ms: Option<u64>,
+    /// Consecutive failures of store calls.
     pub(super) store_failures: u32,
     pub(super) next_write_id: u64,
-    /// Submissions refused of late, so that a late copy is not accepted.
-    pub(super) refused: HashMap<SubmissionKey, RememberedRefusal>,
-    /// Their number at which the old ones are dropped.
-    pub(super) review_refused_at: usize,
+    /// Recent refusals, kept so that a late copy of the request is not accepted.
+    pub(super) recent_refusals: HashMap<SubmissionKey, RememberedRefusal>,
+    /// Number of recent refusals at which expired ones are removed.
+    pub(super) purge_refusals_at: usize,
     pub(super) actions: Vec<Action>,
 }
 
 impl Owner {
-    /// A candidate that has not asked for the lease yet.
+    /// Creates an idle owner that is not a candidate yet.
     pub fn open(settings: Settings) -> Self {
         Self {
             lease: Lease::new(settings.lease_ttl_ms, settings.lease_margin_ms),
@@ -147,24 +159,25 @@
             configuration: None,
             configuration_confirmed_ms: None,
             members: BTreeMap::new(),
-            says_leaving: HashSet::new(),
-            next_call: 0,
+            self_reported_leaving: HashSet::new(),
+            last_call_id: 0,
             journal_call: None,
             lease_call: None,
             journal_retry_ms: None,
             store_failures: 0,
-            refused: HashMap::new(),
-            review_refused_at: FIRST_REVIEW_OF_REFUSALS,
+            recent_refusals: HashMap::new(),
+            purge_refusals_at: FIRST_REFUSAL_PURGE,
             actions: Vec::new(),
         }
     }
 
-    /// Whether this daemon owns the data centre, as far as it knows.
+    /// Whether this daemon owns the data centre, as far as it knows. Another
+    /// daemon may have taken over unnoticed.
     pub fn is_owner(&self) -> bool {
         matches!(self.phase, Phase::Owning(_))
     }
 
-    /// The owner's epoch.
+    /// The owner's epoch, while this daemon owns the data centre.
     pub fn epoch(&self) -> Option<u64> {
         match &self.phase {
             Phase::Owning(owning) => Some(owning.journal.epoch()),
@@ -172,7 +185,7 @@
         }
     }
 
-    /// The cell, while this daemon owns it.
+    /// The decision core, while this daemon owns the data centre.
     pub fn cell(&self) -> Option<&Cell> {
         match &self.phase {
             Phase::Owning(owning) => Some(&owning.cell),
@@ -180,26 +193,27 @@
         }
     }
 
-    /// Whether everything decided so far is durable and nothing is held.
+    /// Whether the drain is complete: all decisions are durable and the lease is
+    /// released.
     pub fn has_handed_over(&self) -> bool {
         self.draining && matches!(self.phase, Phase::Idle) && self.lease_call.is_none()
     }
 
-    /// Takes in one event and says what to do.
+    /// Handles one event and returns the actions to execute.
     pub fn handle(&mut self, event: Event, now_ms: u64) -> Vec<Action> {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
             Event::Tick => self.tick(),
-            Event::Request { token, request } => self.request(token, request),
-            Event::Store { call, result } => self.store_answered(call, result),
-            Event::Worker { call, result } => self.worker_answered(call, result),
+            Event::Request { token, request } => self.handle_request(token, request),
+            Event::Store { call, result } => self.handle_store_answer(call, result),
+            Event::Worker { call, result } => self.handle_worker_answer(call, result),
             Event::WorkerUpdate { worker, update } => self.handle_worker_update(&worker, update),
-            Event::Configuration(configuration) => self.configured(configuration),
+            Event::Configuration(configuration) => self.handle_configuration(configuration),
             Event::ConfigurationConfirmed { asked_ms } => {
                 let confirmed = self.configuration_confirmed_ms.unwrap_or(0);
                 self.configuration_confirmed_ms = Some(confirmed.max(asked_ms));
             }
-            Event::Members(members) => self.members_listed(members),
+            Event::Members(members) => self.handle_member_list(members),
             Event::Candidacy(is_candidate) => self.is_candidate = is_candidate,
             Event::Drain => self.draining = true,
         }
@@ -207,6 +221,8 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Repeats a failed store call when it is due and lets the core handle what
+    /// has become due.
     pub(super) fn tick(&mut self) {
         if self.journal_retry_ms.is_some_and(|at| at <= self.now_ms) {
             self.journal_retry_ms = None;
@@ -216,7 +232,7 @@
                 Phase::Idle => {}
             }
         }
-        self.pause_if_stale();
+        self.update_pause();
         let core_tick_ms = self.settings.core_tick_ms;
         if let Phase::Owning(owning) = &mut self.phase
             && owning.next_core_tick_ms <= self.now_ms
@@ -226,22 +242,24 @@
         }
     }
 
-    /// Makes the calls that have become due.
+    /// Requests the calls that have become due and executes effects whose
+    /// changes have become durable.
     pub(super) fn advance(&mut self) {
-        self.keep_lease();
-        self.commit();
-        self.release_gated();
+        self.renew_lease();
+        self.advance_journal();
+        self.execute_durable_effects();
         self.send_due();
         self.resign_if_drained();
     }
 
-    pub(super) fn next_call(&mut self) -> CallId {
-        self.next_call += 1;
-        CallId(self.next_call)
+    pub(super) fn next_call_id(&mut self) -> CallId {
+        self.last_call_id += 1;
+        CallId(self.last_call_id)
     }
 
+    /// Requests a store call and returns its id.
     pub(super) fn call_store(&mut self, request: StoreCall) -> CallId {
-        let call = self.next_call();
+        let call = self.next_call_id();
         self.actions.push(Action::Store { call, request });
         call
     }
--- a/src/owner/store_events.rs
+++ b/src/owner/store_events.rs
@@ -1,4 +1,5 @@
-//! The owner's lease, its commits, and the way into and out of ownership.
+//! Handles the store's answers: the owner lease, commits to the ledger, and the
+//! start and end of ownership.
 
 use super::{
     Action,
@@ -34,17 +35,21 @@
     VecDeque, //
 };
 
+/// Wait after the first of consecutive failed store calls; doubled with each further
+/// one.
 const STORE_RETRY_MS: u64 = 250;
 const MAX_STORE_RETRY_MS: u64 = 4_000;
 
 impl Owner {
-    pub(super) fn keep_lease(&mut self) {
-        let wanted = match self.phase {
+    /// Requests the lease if this daemon is a candidate, or its renewal if it
+    /// holds the lease, when that is due.
+    pub(super) fn renew_lease(&mut self) {
+        let is_wanted = match self.phase {
             Phase::Idle => self.is_candidate && !self.draining,
             _ => true,
         };
-        if wanted && self.lease.step(self.now_ms) == LeaseStep::Ask {
-            self.lease.asked(self.now_ms);
+        if is_wanted && self.lease.next_step(self.now_ms) == LeaseStep::Acquire {
+            self.lease.requested(self.now_ms);
             let call = self.call_store(StoreCall::AcquireLease {
                 key: lease_key(&self.settings.data_centre),
                 holder: self.settings.daemon.clone(),
@@ -54,7 +59,9 @@
         }
     }
 
-    pub(super) fn commit(&mut self) {
+    /// Requests the journal's next store call, if one is due, and records
+    /// when a commit starts.
+    pub(super) fn advance_journal(&mut self) {
         let journal = match &mut self.phase {
             Phase::Idle => return,
             Phase::Opening(journal) => journal,
@@ -66,26 +73,27 @@
         }
         let now_ms = self.now_ms;
         if let Phase::Owning(owning) = &mut self.phase {
-            let committing = owning.journal.pushed() > owning.journal.durable();
-            owning.commit_since_ms = match committing {
-                true => owning.commit_since_ms.or(Some(now_ms)),
+            let is_committing = owning.journal.pushed() > owning.journal.durable();
+            owning.commit_started_ms = match is_committing {
+                true => owning.commit_started_ms.or(Some(now_ms)),
                 false => None,
             };
         }
     }
 
-    pub(super) fn store_answered(
+    /// Handles the result of a call of the lease or of the journal.
+    pub(super) fn handle_store_answer(
         &mut self,
         call: CallId,
         result: Result<StoreAnswer, StoreFailure>,
     ) {
-        self.note_store(result.is_ok());
+        self.record_store_result(result.is_ok());
         if self.lease_call == Some(call) {
             self.lease_call = None;
-            return self.lease_answered(result);
+            return self.handle_lease_answer(result);
         }
-        // A duplicated or late answer of an earlier call tells nothing about
-        // the call under way.
+        // A duplicate or late answer to an earlier call says nothing about the
+        // call in flight.
         if self.journal_call != Some(call) {
             metrics::counter!("fuchsiaslip_late_answers_total", "from" => "store").increment(1);
             return;
@@ -97,15 +105,15 @@
         }
         let event = match &mut self.phase {
             Phase::Idle => return,
-            Phase::Opening(journal) => journal.answer(result),
-            Phase::Owning(owning) => owning.journal.answer(result),
+            Phase::Opening(journal) => journal.handle_answer(result),
+            Phase::Owning(owning) => owning.journal.handle_answer(result),
         };
         match event {
             JournalEvent::Pending => {}
             JournalEvent::Opened => self.take_ownership(),
             JournalEvent::Durable(_) => {
                 if let Phase::Owning(owning) = &mut self.phase {
-                    owning.commit_since_ms = None;
+                    owning.commit_started_ms = None;
                 }
             }
             JournalEvent::Fenced => self.step_down(),
@@ -117,8 +125,10 @@
         }
     }
 
-    pub(super) fn note_store(&mut self, answered: bool) {
-        if answered {
+    /// Counts consecutive failures of store calls and logs when an outage begins
+    /// and ends.
+    pub(super) fn record_store_result(&mut self, succeeded: bool) {
+        if succeeded {
             if std::mem::take(&mut self.store_failures) > 0 {
                 events::log(events::STORE_BACK, format_args!("{}", self.settings.daemon));
             }
@@ -134,12 +144,13 @@
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "store_silent").increment(1);
     }
 
-    pub(super) fn lease_answered(&mut self, result: Result<StoreAnswer, StoreFailure>) {
+    /// Handles the result of a lease request.
+    pub(super) fn handle_lease_answer(&mut self, result: Result<StoreAnswer, StoreFailure>) {
         match result {
             Ok(StoreAnswer::Granted) => {
                 self.lease.granted();
                 if matches!(self.phase, Phase::Idle) && self.is_candidate && !self.draining {
-                    self.begin_opening();
+                    self.open_ledger();
                 }
             }
             Ok(StoreAnswer::Held { .. }) => {
@@ -149,8 +160,8 @@
                     self.step_down();
                 }
             }
-            // While the store is away nobody else can take the lease either;
-            // the ledger's compare-and-swap decides when it is back.
+            // During a store outage no other daemon can acquire the lease
+            // either. After it, the compare-and-swap on the ledger decides.
             _ => {
                 let wait_ms = STORE_RETRY_MS << self.store_failures.saturating_sub(1).min(4);
                 self.lease
@@ -159,7 +170,8 @@
         }
     }
 
-    pub(super) fn begin_opening(&mut self) {
+    /// Starts to read the ledger, as the holder of the lease.
+    pub(super) fn open_ledger(&mut self) {
         let first_write_id = self.next_write_id;
         self.next_write_id += 1 << 24;
         self.journal_call = None;
@@ -171,18 +183,19 @@
         )));
     }
 
-    /// The epoch is in the ledger: rebuild the cell and ask the workers.
+    /// Starts ownership once the new epoch is in the ledger: rebuilds the core
+    /// from the stored jobs, which inspects the attempts on the workers.
     pub(super) fn take_ownership(&mut self) {
         let Phase::Opening(journal) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return;
         };
-        let known = self.configuration.as_ref().map_or(0, |c| c.version);
-        if known < journal.configuration_version() {
+        let known_version = self.configuration.as_ref().map_or(0, |c| c.version);
+        if known_version < journal.configuration_version() {
             // This daemon's configuration is older than the one with which the
-            // ledger was written; deciding with it would revert a patch.
+            // ledger was written. Deciding with it would revert a patch.
             metrics::counter!("fuchsiaslip_retries_total", "reason" => "configuration_behind")
                 .increment(1);
-            self.give_up_lease();
+            self.release_lease();
             return;
         }
         let epoch = journal.epoch();
@@ -202,7 +215,7 @@
             waiters: HashMap::new(),
             incarnations: HashMap::new(),
             next_core_tick_ms: self.now_ms,
-            commit_since_ms: None,
+            commit_started_ms: None,
             paused: false,
         }));
         events::log(
@@ -218,10 +231,11 @@
             self.apply_configuration(configuration);
         }
         self.apply(Command::Recover(jobs));
-        self.pause_if_stale();
+        self.update_pause();
     }
 
-    /// Drops everything that is not durable; the next owner has the rest.
+    /// Ends ownership without a handover. Drops all decisions that are not
+    /// durable; the next owner reads the durable ones from the ledger.
     pub(super) fn step_down(&mut self) {
         let Phase::Owning(owning) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return;
@@ -248,7 +262,8 @@
         }
     }
 
-    pub(super) fn give_up_lease(&mut self) {
+    /// Becomes idle and releases the lease.
+    pub(super) fn release_lease(&mut self) {
         self.phase = Phase::Idle;
         let wait_ms = self.settings.lease_ttl_ms;
         self.lease.not_granted(self.now_ms, wait_ms);
@@ -261,15 +276,17 @@
         self.lease_call = Some(call);
     }
 
+    /// Ends ownership in a drain, once all changes are durable and no lease
+    /// request is in flight.
     pub(super) fn resign_if_drained(&mut self) {
-        let done = match &self.phase {
+        let is_finished = match &self.phase {
             Phase::Owning(owning) => {
                 owning.journal.pushed() == owning.journal.durable() && owning.gated.is_empty()
             }
             Phase::Opening(_) => true,
             Phase::Idle => false,
         };
-        if !self.draining || !done || self.lease_call.is_some() {
+        if !self.draining || !is_finished || self.lease_call.is_some() {
             return;
         }
         if let Phase::Owning(owning) = &mut self.phase {
@@ -289,6 +306,6 @@
             events::OWNER_RESIGNED,
             format_args!("{}", self.settings.data_centre),
         );
-        self.give_up_lease();
+        self.release_lease();
     }
 }
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -1,4 +1,5 @@
-//! The owner's workers: who they are, their news, and calls to them.
+//! Handles the configuration, the list of workers, updates from worker monitors,
+//! and calls to workers.
 
 use super::{
     Action,
@@ -6,7 +7,7 @@
     Owner,
     WorkerUpdate,
     outbox,
-    outbox::Meaning,
+    outbox::CallOutcome,
     state::Phase, //
 };
 use crate::backend::{
@@ -30,9 +31,10 @@
 use std::sync::Arc;
 
 impl Owner {
-    pub(super) fn configured(&mut self, configuration: Arc<Configuration>) {
-        let known = self.configuration.as_ref().map_or(0, |c| c.version);
-        if self.configuration.is_some() && configuration.version <= known {
+    /// Puts a configuration in force if it is newer than the known one.
+    pub(super) fn handle_configuration(&mut self, configuration: Arc<Configuration>) {
+        let known_version = self.configuration.as_ref().map_or(0, |c| c.version);
+        if self.configuration.is_some() && configuration.version <= known_version {
             return;
         }
         self.configuration = Some(configuration.clone());
@@ -48,8 +50,10 @@
         }
     }
 
-    pub(super) fn members_listed(&mut self, members: Vec<VmRecord>) {
-        let gone: Vec<String> = self
+    /// Handles the platform's list of VMs. A VM that is no longer listed is kept
+    /// as leaving.
+    pub(super) fn handle_member_list(&mut self, members: Vec<VmRecord>) {
+        let unlisted: Vec<String> = self
             .members
             .keys()
             .filter(|name| !members.iter().any(|vm| vm.name == **name))
@@ -58,37 +62,38 @@
         for vm in members {
             self.members.insert(vm.name.clone(), vm);
         }
-        // A worker that the list no longer names gets no new work; whether its
-        // tasks are gone only its own silence tells.
-        for name in gone {
+        // A worker that is no longer listed gets no new work. Its tasks are
+        // treated as stopped only when it has not responded for its lease.
+        for name in unlisted {
             if let Some(vm) = self.members.get_mut(&name) {
                 vm.leaving = true;
             }
         }
         self.apply(Command::Workers(self.worker_specs()));
-        self.reopen_workers();
+        self.readmit_workers();
     }
 
-    /// A worker is open again when neither the list nor itself says that it is
-    /// leaving.
-    pub(super) fn reopen_workers(&mut self) {
+    /// Lets leaving workers get work again when neither the list nor the worker
+    /// itself says any more that it is leaving.
+    pub(super) fn readmit_workers(&mut self) {
         let Phase::Owning(owning) = &self.phase else {
             return;
         };
-        let reopened: Vec<String> = owning
+        let readmitted: Vec<String> = owning
             .cell
             .fleet()
             .workers()
             .filter(|(_, worker)| worker.health == WorkerHealth::Leaving)
-            .filter(|(_, worker)| !self.says_leaving.contains(&worker.name))
+            .filter(|(_, worker)| !self.self_reported_leaving.contains(&worker.name))
             .filter(|(_, worker)| self.members.get(&worker.name).is_some_and(|vm| !vm.leaving))
             .map(|(_, worker)| worker.name.clone())
             .collect();
-        for name in reopened {
+        for name in readmitted {
             self.apply(Command::WorkerReturned(name));
         }
     }
 
+    /// Returns the workers among the VMs, as the core expects them.
     pub(super) fn worker_specs(&self) -> Vec<WorkerSpec> {
         self.members
             .values()
@@ -102,6 +107,7 @@
             .collect()
     }
 
+    /// Passes an update from a worker monitor to the core.
     pub(super) fn handle_worker_update(&mut self, worker: &str, update: WorkerUpdate) {
         match update {
             WorkerUpdate::Changes(changes) => {
@@ -115,8 +121,9 @@
                 }
             }
             WorkerUpdate::Silent { silent_ms } => {
-                let over_ms = self.settings.worker_lease_ms + self.settings.worker_margin_ms;
-                if silent_ms >= over_ms && self.health_of(worker) != Some(WorkerHealth::Lost) {
+                let lost_after_ms = self.settings.worker_lease_ms + self.settings.worker_margin_ms;
+                if silent_ms >= lost_after_ms && self.health_of(worker) != Some(WorkerHealth::Lost)
+                {
                     events::log(events::WORKER_LOST, format_args!("{worker}"));
                     self.apply(Command::WorkerLost(worker.to_owned()));
                 }
@@ -124,22 +131,25 @@
             WorkerUpdate::Seen {
                 incarnation,
                 leaving,
-            } => self.worker_seen(worker, incarnation, leaving),
+            } => self.handle_worker_response(worker, incarnation, leaving),
         }
     }
 
-    pub(super) fn worker_seen(&mut self, worker: &str, incarnation: u64, leaving: bool) {
+    /// Handles a response of a worker: detects restarts, the return of a lost
+    /// worker, and whether it is leaving.
+    pub(super) fn handle_worker_response(&mut self, worker: &str, incarnation: u64, leaving: bool) {
         let Phase::Owning(owning) = &mut self.phase else {
             return;
         };
-        let known = owning.incarnations.insert(worker.to_owned(), incarnation);
-        match known {
-            Some(known) if known != incarnation => {
+        let previous = owning.incarnations.insert(worker.to_owned(), incarnation);
+        match previous {
+            Some(previous) if previous != incarnation => {
                 self.apply(Command::WorkerRestarted(worker.to_owned()));
             }
             Some(_) => {}
-            // A new owner cannot tell whether the worker restarted since it
-            // inspected it: tasks that it believes running are asked for again.
+            // A new owner does not know whether the worker restarted after its
+            // attempts were inspected, so that the tasks assumed to run there
+            // are inspected again.
             None => self.apply(Command::Reinspect(worker.to_owned())),
         }
         if self.health_of(worker) == Some(WorkerHealth::Lost) {
@@ -147,10 +157,10 @@
             self.apply(Command::WorkerReturned(worker.to_owned()));
         }
         if !leaving {
-            self.says_leaving.remove(worker);
-            return self.reopen_workers();
+            self.self_reported_leaving.remove(worker);
+            return self.readmit_workers();
         }
-        if self.says_leaving.insert(worker.to_owned()) {
+        if self.self_reported_leaving.insert(worker.to_owned()) {
             events::log(events::WORKER_LEAVING, format_args!("{worker}"));
         }
         self.apply(Command::WorkerLeaving(worker.to_owned()));
@@ -161,7 +171,8 @@
         fleet.find(worker).map(|key| fleet.worker(key).health)
     }
 
-    pub(super) fn worker_answered(
+    /// Handles the result of a call to a worker.
+    pub(super) fn handle_worker_answer(
         &mut self,
         call: CallId,
         result: Result<WorkerAnswer, WorkerFailure>,
@@ -176,18 +187,18 @@
         };
         let worker = outgoing.worker.clone();
         let attempt = outbox::attempt_of(&outgoing.call);
-        let meaning = match result {
+        let outcome = match result {
             Ok(answer) => owning.outbox.answered(&outgoing, answer, now_ms),
             Err(_) => {
                 metrics::counter!("fuchsiaslip_retries_total", "reason" => "worker_silent")
                     .increment(1);
-                match still_wanted(&owning.cell, &outgoing) {
-                    true => owning.outbox.silent(outgoing, now_ms),
-                    false => Meaning::Nothing,
+                match is_still_needed(&owning.cell, &outgoing) {
+                    true => owning.outbox.unanswered(outgoing, now_ms),
+                    false => CallOutcome::Nothing,
                 }
             }
         };
-        if let (Meaning::Event(event), Some(attempt)) = (meaning, attempt) {
+        if let (CallOutcome::Event(event), Some(attempt)) = (outcome, attempt) {
             self.apply(Command::Member(MemberReport {
                 attempt,
                 worker,
@@ -196,6 +207,7 @@
         }
     }
 
+    /// Schedules a call to a worker for now.
     pub(super) fn send(&mut self, worker: WorkerKey, call: WorkerCall) {
         let now_ms = self.now_ms;
         if let Phase::Owning(owning) = &mut self.phase {
@@ -204,6 +216,8 @@
         }
     }
 
+    /// Requests all scheduled calls that are due, except those that are no longer
+    /// needed.
     pub(super) fn send_due(&mut self) {
         loop {
             let now_ms = self.now_ms;
@@ -213,11 +227,11 @@
             let Some(outgoing) = owning.outbox.take_due(now_ms) else {
                 return;
             };
-            if !still_wanted(&owning.cell, &outgoing) {
+            if !is_still_needed(&owning.cell, &outgoing) {
                 continue;
             }
-            self.next_call += 1;
-            let call = CallId(self.next_call);
+            self.last_call_id += 1;
+            let call = CallId(self.last_call_id);
             let address = self.members.get(&outgoing.worker);
             self.actions.push(Action::Worker {
                 call,
@@ -230,14 +244,15 @@
     }
 }
 
-/// Whether a call still serves the attempt that it was made for. A stop is
-/// always wanted: an attempt that is over must not go on.
-fn still_wanted(cell: &Cell, outgoing: &outbox::Outgoing) -> bool {
+/// Whether the attempt that a call is about is still in the state that needs the
+/// call. A stop is needed unless the worker is lost: a task whose attempt has
+/// ended must not continue.
+fn is_still_needed(cell: &Cell, outgoing: &outbox::Outgoing) -> bool {
     let Some(attempt) = outbox::attempt_of(&outgoing.call) else {
         return false;
     };
     let fleet = cell.fleet();
-    let lost = fleet
+    let is_lost = fleet
         .find(&outgoing.worker)
         .is_none_or(|key| fleet.worker(key).health == WorkerHealth::Lost);
     let state = cell
@@ -250,7 +265,7 @@
         WorkerCall::Inspect { .. } => {
             matches!(state, Some(JobState::Recovering | JobState::Running))
         }
-        WorkerCall::Stop { .. } => !lost,
+        WorkerCall::Stop { .. } => !is_lost,
         WorkerCall::Poll { .. } => false,
     }
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -52,7 +52,7 @@
 fn settle(journal: &mut Journal, store: &mut StoreStandIn) -> JournalEvent {
     let mut last = JournalEvent::Pending;
     while let Some(call) = journal.poll() {
-        let event = journal.answer(store.handle(call, 0));
+        let event = journal.handle_answer(store.handle(call, 0));
         if event != JournalEvent::Pending {
             last = event;
         }
