--- a/tests/fault_matrix.rs
+++ b/tests/fault_matrix.rs
@@ -1,7 +1,8 @@
-//! Every fault at every step of a job's life, in virtual time.
+//! Injects every fault, and every pair of faults, at every step of a job, in
+//! virtual time.
 //!
-//! Each cell runs the same mix of jobs, lets the fault happen when the step is
-//! reached, and checks the promises that must always hold.
+//! Each cell of the matrix runs the same mix of jobs, injects its faults when a
+//! job reaches the step, and checks the invariants of `World`.
 
 #[path = "support/world.rs"]
 mod world;
@@ -21,8 +22,10 @@
     World, //
 };
 
-const LONGEST_MS: u64 = 180_000;
+/// Time limit of one cell.
+const MAX_CELL_MS: u64 = 180_000;
 
+/// A step of a job at which faults are injected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Step {
     Received,
@@ -86,19 +89,25 @@
         quota_accelerators = 400
         "#,
     )
-    .expect("the declaration is right")
+    .expect("the declaration is valid")
 }
 
-fn submission(at: usize, account: &str, class: &str, shape: Shape, task: &TaskSpec) -> Submission {
+fn submission(
+    index: usize,
+    account: &str,
+    class: &str,
+    shape: Shape,
+    task: &TaskSpec,
+) -> Submission {
     let task = TaskSpec {
-        marker: at.to_string(),
+        marker: index.to_string(),
         answer_bytes: 64,
         ..task.clone()
     };
     let mut submission = Submission {
         account: account.to_owned(),
         class: class.to_owned(),
-        idempotency_key: format!("key-{at}"),
+        idempotency_key: format!("key-{index}"),
         idempotent: class == "overnight",
         declared_run_ms: task.run_ms,
         payload: task.payload(),
@@ -108,14 +117,15 @@
     submission
 }
 
-/// Caller of the gang that calls its account's guarantee back.
+/// Index of the caller whose gang reclaims its account's guarantee.
 const RECLAIMING: usize = 4;
-/// Caller whose job is cancelled while it runs.
+/// Index of the caller whose job is cancelled while it runs.
 const CANCELLED: usize = 6;
 
-/// Overnight gangs that fill the data centre, lent capacity included; then a
-/// gang that reclaims, urgent work, work that runs at most once, work that is
-/// cancelled, and work that fails.
+/// Creates a world with overnight gangs that fill the data centre, including
+/// capacity that is guaranteed to another account, and then a gang that reclaims
+/// its guarantee, urgent work, jobs that run at most once, one of which is
+/// cancelled, and a job that fails.
 fn scenario() -> World {
     let mut world = World::new(declaration(), 6, 3);
     let runs = |run_ms| TaskSpec {
@@ -127,7 +137,7 @@
         workers: 2,
         adjacency: Adjacency::NeighbouringRacks,
     };
-    let rack = Shape {
+    let gang_on_one_rack = Shape {
         adjacency: Adjacency::Rack,
         ..gang
     };
@@ -137,13 +147,13 @@
         ("rijeka", "overnight", gang, runs(3_000), 0),
         ("rijeka", "overnight", gang, runs(3_000), 0),
         ("rijeka", "overnight", Shape::single(4), runs(2_000), 200),
-        ("jadran", "standard", rack, runs(1_500), 1_000),
+        ("jadran", "standard", gang_on_one_rack, runs(1_500), 1_000),
         ("jadran", "urgent", Shape::single(1), runs(200), 1_200),
         ("rijeka", "standard", Shape::single(2), runs(2_500), 1_300),
         ("rijeka", "standard", Shape::single(1), runs(800), 1_300),
     ];
-    for (at, (account, class, shape, task, after_ms)) in jobs.into_iter().enumerate() {
-        let submission = submission(at, account, class, shape, &task);
+    for (index, (account, class, shape, task, after_ms)) in jobs.into_iter().enumerate() {
+        let submission = submission(index, account, class, shape, &task);
         world
             .callers
             .push(Caller::new(submission, start_ms + after_ms));
@@ -161,10 +171,10 @@
     world
 }
 
-/// The caller whose job has just reached `step`.
+/// Returns the index of a caller whose job has reached `step`.
 fn reached(world: &World, step: Step) -> Option<usize> {
-    let in_state = |wanted: fn(JobState) -> bool| {
-        (0..world.callers.len()).find(|&at| world.state_of(at).is_some_and(wanted))
+    let in_state = |is_wanted: fn(JobState) -> bool| {
+        (0..world.callers.len()).find(|&index| world.state_of(index).is_some_and(is_wanted))
     };
     match step {
         Step::Received => (world.now_ms >= world.callers[0].submit_at_ms).then_some(0),
@@ -196,12 +206,12 @@
     }
 }
 
-/// Runs one cell and returns what was violated; `None` if the step was never
+/// Runs one cell and returns the violations, or `None` if the step was not
 /// reached.
 fn run_cell(step: Step, faults: &[Fault]) -> Option<Vec<String>> {
     let mut world = scenario();
-    let end_ms = world.now_ms + LONGEST_MS;
-    world.when(Box::new(move |world| reached(world, step)), faults);
+    let end_ms = world.now_ms + MAX_CELL_MS;
+    world.inject_when(Box::new(move |world| reached(world, step)), faults);
     while world.now_ms < end_ms {
         world.step();
         world.check_gangs();
@@ -210,7 +220,7 @@
             break;
         }
     }
-    // Tasks of settled jobs get time to be stopped.
+    // Gives the tasks of settled jobs time to stop.
     for _ in 0..240 {
         world.step();
     }
@@ -219,16 +229,17 @@
     world.has_triggered().then_some(world.violations)
 }
 
-/// One cell of the matrix and what came of it.
+/// One cell of the matrix and its result.
 struct CellRun {
     step: Step,
     faults: Vec<Fault>,
-    /// What was violated; `None` if the step was never reached.
+    /// The violations, or `None` if the step was not reached.
     violations: Option<Vec<String>>,
 }
 
+/// Prints the failed cells and checks that every cell passed.
 fn report(name: &str, cells: &[CellRun]) {
-    let held = cells
+    let passed = cells
         .iter()
         .filter(|cell| cell.violations.as_ref().is_some_and(Vec::is_empty))
         .count();
@@ -251,13 +262,13 @@
         }
     }
     println!(
-        "{name}: {} steps, {} faults, {} cells run, {held} cells hold",
+        "{name}: {} steps, {} faults, {} cells run, {passed} cells hold",
         Step::ALL.len(),
         Fault::ALL.len(),
         cells.len()
     );
-    assert_eq!(not_reached, 0, "every step is reached");
-    assert_eq!(held, cells.len(), "every cell holds");
+    assert_eq!(not_reached, 0, "every step must be reached");
+    assert_eq!(passed, cells.len(), "every cell must pass");
 }
 
 #[test]
@@ -279,8 +290,8 @@
 fn two_faults_at_once_at_every_step() {
     let mut cells = Vec::new();
     for step in Step::ALL {
-        for (at, &first) in Fault::ALL.iter().enumerate() {
-            for &second in &Fault::ALL[at + 1..] {
+        for (index, &first) in Fault::ALL.iter().enumerate() {
+            for &second in &Fault::ALL[index + 1..] {
                 cells.push(CellRun {
                     step,
                     faults: vec![first, second],
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: pages, folding, damage.
+//! Tests of the ledger: pages, compaction, fencing and damaged values.
 
 use fuchsiaslip::ledger::{
     Change,
@@ -48,7 +48,8 @@
     ChangeKind::Ended(change).into()
 }
 
-/// Makes every call that is due until nothing is.
+/// Executes store calls until none is due and returns the last event that is not
+/// [`JournalEvent::Pending`].
 fn settle(journal: &mut Journal, store: &mut StoreStandIn) -> JournalEvent {
     let mut last = JournalEvent::Pending;
     while let Some(call) = journal.poll() {
@@ -61,17 +62,18 @@
     last
 }
 
+/// Opens the ledger for a new owner.
 fn opened(store: &mut StoreStandIn, owner: &str, first_write_id: u64) -> Journal {
     let mut journal = Journal::open(DATA_CENTRE, owner, first_write_id);
     assert_eq!(settle(&mut journal, store), JournalEvent::Opened);
     journal
 }
 
-/// A page that was cut short, or written by a newer program, must stop the new
-/// owner with a clear error: going on without the page would lose the jobs on
-/// it without a trace.
+/// A page that was truncated or written by a newer program must stop the new owner
+/// with a specific error: continuing without the page would silently lose the
+/// jobs on it.
 #[test]
-fn damaged_values_are_refused_with_their_kind() {
+fn damaged_values_are_rejected_with_a_specific_error() {
     let sealed = seal(b"content");
     let mut flipped = sealed.to_vec();
     flipped[10] ^= 1;
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn owner_does_not_start_on_a_damaged_root() {
+fn an_owner_does_not_start_on_a_damaged_root() {
     let mut store = StoreStandIn::default();
     let mut first = opened(&mut store, "d1", 1);
     first.push(accepted(1, 10));
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn later_owner_fences_the_earlier_one() {
+fn a_later_owner_fences_the_earlier_one() {
     let mut store = StoreStandIn::default();
     let mut first = opened(&mut store, "d1", 1);
     let second = opened(&mut store, "d2", 1 << 40);
@@ -148,7 +150,7 @@
 enum Step {
     Accept(usize),
     End(u8),
-    Forget(u8),
+    Delete(u8),
     Commit,
     LoseAnswer,
     Reopen,
@@ -158,7 +160,7 @@
     prop_oneof![
         4 => (0..6_000usize).prop_map(Step::Accept),
         2 => any::<u8>().prop_map(Step::End),
-        1 => any::<u8>().prop_map(Step::Forget),
+        1 => any::<u8>().prop_map(Step::Delete),
         3 => Just(Step::Commit),
         1 => Just(Step::LoseAnswer),
         1 => Just(Step::Reopen),
@@ -173,33 +175,33 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is done, lost and reopened, the ledger holds what a plain map
-    /// of all durable changes holds.
+    /// After any sequence of changes, commits, lost answers and reopenings, the
+    /// ledger contains the same jobs as a map to which the changes were applied.
     #[test]
-    fn reopened_ledger_equals_a_naive_map(steps in prop::collection::vec(step(), 1..80)) {
+    fn a_reopened_ledger_equals_a_map_model(steps in prop::collection::vec(step(), 1..80)) {
         let mut store = StoreStandIn::default();
         let mut journal = opened(&mut store, "d", 1);
-        let mut naive: BTreeMap<u64, i32> = BTreeMap::new();
+        let mut model: BTreeMap<u64, i32> = BTreeMap::new();
         let mut owners = 1u64;
-        for (at, step) in steps.into_iter().enumerate() {
-            let id = at as u64;
+        for (index, step) in steps.into_iter().enumerate() {
+            let id = index as u64;
             match step {
                 Step::Accept(payload_bytes) => {
                     journal.push(accepted(id, payload_bytes));
-                    naive.insert(id, 0);
+                    model.insert(id, 0);
                 }
                 Step::End(which) => {
-                    let chosen = naive.keys().nth(usize::from(which) % naive.len().max(1)).copied();
+                    let chosen = model.keys().nth(usize::from(which) % model.len().max(1)).copied();
                     if let Some(id) = chosen {
                         journal.push(ended(id));
-                        naive.insert(id, OutcomeCode::Served as i32);
+                        model.insert(id, OutcomeCode::Served as i32);
                     }
                 }
-                Step::Forget(which) => {
-                    let chosen = naive.keys().nth(usize::from(which) % naive.len().max(1)).copied();
+                Step::Delete(which) => {
+                    let chosen = model.keys().nth(usize::from(which) % model.len().max(1)).copied();
                     if let Some(id) = chosen {
                         journal.push(ChangeKind::Forgotten(id).into());
-                        naive.remove(&id);
+                        model.remove(&id);
                     }
                 }
                 Step::Commit => {
@@ -217,14 +219,15 @@
         owners += 1;
         let journal = opened(&mut store, "d", owners << 32);
 
-        let held: BTreeMap<u64, i32> =
+        let stored: BTreeMap<u64, i32> =
             journal.job_pages().jobs().map(|job| (job.id, job.outcome)).collect();
-        prop_assert_eq!(held, naive);
+        prop_assert_eq!(stored, model);
     }
 
-    /// Nothing that arrives as a ledger value makes the program fall over.
+    /// Decoding a root from arbitrary bytes, with or without a valid envelope, does
+    /// not panic.
     #[test]
-    fn any_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = decode_root(bytes.clone().into());
         let _ = decode_root(seal(&bytes));
     }
--- a/tests/owner_failures.rs
+++ b/tests/owner_failures.rs
@@ -1,4 +1,5 @@
-//! Failures that were found once, each with its story.
+//! Regression tests for failures of the owner, the decision core and workers. The
+//! comment of each test describes the failure.
 
 #[path = "support/world.rs"]
 mod world;
@@ -78,7 +79,7 @@
         quota_accelerators = 100
         "#,
     )
-    .expect("the declaration is right")
+    .expect("the declaration is valid")
 }
 
 fn configuration(version: u64) -> Arc<Configuration> {
@@ -109,8 +110,8 @@
     submission
 }
 
-fn run_for(world: &mut World, time_ms: u64) {
-    let until_ms = world.now_ms + time_ms;
+fn run_for(world: &mut World, duration_ms: u64) {
+    let until_ms = world.now_ms + duration_ms;
     while world.now_ms < until_ms {
         world.step();
     }
@@ -130,12 +131,13 @@
     cell
 }
 
-/// A caller saw its overnight job stop for ever. Its account's neighbour called
-/// the guarantee back while the job was still being reserved, and then the
-/// worker refused the reservation. The refusal asked for a second stop, which
-/// changed nothing, and nobody noticed that the last member was gone.
+/// Guards against a job that stays in the stopping state for ever. It happened
+/// when another account reclaimed its guarantee while the job was still being
+/// reserved, and the worker then refused the reservation: the refusal requested
+/// a second stop, which changed nothing, and the loss of the last member went
+/// unnoticed.
 #[test]
-fn refused_reservation_ends_a_stop_that_is_under_way() {
+fn a_refused_reservation_completes_a_stop_in_progress() {
     let mut cell = small_cell();
     let overnight = submission("o", "b", "overnight", 8, 1_000);
     cell.apply(
@@ -145,7 +147,7 @@
         },
         0,
     );
-    let lent = cell.jobs().next().map(|(_, job)| job.attempt_id()).unwrap();
+    let reclaimed_attempt = cell.jobs().next().map(|(_, job)| job.attempt_id()).unwrap();
     let standard = submission("s", "a", "standard", 8, 1_000);
     cell.apply(
         Command::Submit {
@@ -155,30 +157,36 @@
         1,
     );
     let refused = MemberReport {
-        attempt: lent,
+        attempt: reclaimed_attempt,
         worker: "w0".to_owned(),
         event: MemberEvent::ReserveRefused,
     };
 
     cell.apply(Command::Member(refused), 2);
 
-    assert_eq!(cell.job(lent.job).unwrap().state, JobState::Queued);
+    assert_eq!(
+        cell.job(reclaimed_attempt.job).unwrap().state,
+        JobState::Queued
+    );
     let reclaimed = cell.jobs().find(|(_, job)| job.submission.account == "a");
     assert_eq!(reclaimed.unwrap().1.state, JobState::Reserving);
 }
 
-/// An order was placed twice. Its worker restarted while the job ran, the store
-/// was down, and a new owner asked the worker. The worker had forgotten the
-/// task, had then been told to stop it, and took that to mean "not begun".
+/// Guards against a second run of a job that may run only once. It happened when
+/// the worker restarted during the run, the store was down, and a new owner
+/// inspected the attempt: the worker had lost the task, had then got a stop call
+/// for it, and reported it as not begun.
 #[test]
-fn restarted_worker_does_not_let_a_non_idempotent_job_run_again() {
+fn a_restarted_worker_does_not_cause_a_second_run_of_a_non_idempotent_job() {
     let mut world = World::new(declaration(), 2, 2);
-    let once = submission("once", "b", "standard", 1, 4_000);
-    world.callers.push(Caller::new(once, world.now_ms + 500));
+    let non_idempotent = submission("once", "b", "standard", 1, 4_000);
+    world
+        .callers
+        .push(Caller::new(non_idempotent, world.now_ms + 500));
     world.callers[0].cancel_at_ms = Some(world.now_ms + 1_500);
     let running = |world: &World| (world.state_of(0) == Some(JobState::Running)).then_some(0);
-    let faults = [Fault::StoreDown, Fault::WorkerDies, Fault::OwnerPaused];
-    world.when(Box::new(running), &faults);
+    let faults = [Fault::StoreDown, Fault::WorkerRestarts, Fault::OwnerPaused];
+    world.inject_when(Box::new(running), &faults);
 
     run_for(&mut world, 60_000);
 
@@ -188,11 +196,11 @@
     assert_eq!(runs, 1);
 }
 
-/// A cancelled job ran to its end. The owner confirmed the cancellation and
-/// died before the task had stopped; the next owner found the job running and
-/// knew nothing of the wish, which was not in the ledger.
+/// Guards against a cancelled job that runs to its end. It happened when the
+/// owner confirmed the cancellation and crashed before the task had stopped: the
+/// cancellation was not in the ledger, so that the next owner let the job run.
 #[test]
-fn cancellation_outlives_the_owner() {
+fn a_cancellation_survives_a_change_of_owner() {
     let mut world = World::new(declaration(), 2, 2);
     let long = submission("long", "b", "overnight", 1, 30_000);
     world.callers.push(Caller::new(long, world.now_ms + 500));
@@ -201,7 +209,7 @@
         let job = world.callers[0].job.and_then(|job| world.cell()?.job(job));
         job.is_some_and(|job| job.cancelling).then_some(0)
     };
-    world.when(Box::new(cancelling), &[Fault::OwnerCutFromWorkers]);
+    world.inject_when(Box::new(cancelling), &[Fault::OwnerCutFromWorkers]);
     run_for(&mut world, 3_000);
     world.inject(Fault::OwnerDies, 0);
 
@@ -214,14 +222,14 @@
     assert_eq!(outcome, Some(OutcomeCode::Cancelled.name().to_owned()));
 }
 
-/// An owner was paused beyond its lease and went on as if nothing had happened:
-/// it accepted a job that the next owner never saw. The lease has to be counted
-/// from before it was asked for, and looked at before anything is accepted.
+/// Guards against an owner that was paused for longer than its lease and then
+/// accepts a job that the next owner never sees. The lease counts from when it
+/// was requested and is checked before each acceptance.
 #[test]
-fn paused_owner_accepts_nothing_on_a_lapsed_lease() {
+fn a_paused_owner_accepts_nothing_on_an_expired_lease() {
     let mut store = StoreStandIn::default();
     let mut owner = Owner::open(Settings::new("zg-dubrava", "d1", 1));
-    start(1)
+    startup_events(1)
         .into_iter()
         .for_each(|event| drive(&mut owner, &mut store, event, 1_000));
     assert!(owner.is_owner());
@@ -242,8 +250,8 @@
     assert!(refused, "{actions:?}");
 }
 
-/// What a daemon knows before it becomes owner.
-fn start(configuration_version: u64) -> [Event; 4] {
+/// Returns the events that a daemon handles before it becomes owner.
+fn startup_events(configuration_version: u64) -> [Event; 4] {
     let worker = VmRecord {
         name: "w0".to_owned(),
         kind: VmKind::Worker,
@@ -268,7 +276,8 @@
     }
 }
 
-/// Carries an event and the store calls that follow from it.
+/// Lets the owner handle an event and executes the store calls that follow from
+/// it.
 fn drive(owner: &mut Owner, store: &mut StoreStandIn, event: Event, now_ms: u64) {
     let mut actions = owner.handle(event, now_ms);
     while let Some(action) = actions.pop() {
@@ -279,11 +288,12 @@
     }
 }
 
-/// A gang ran with one member too many: an owner that had been replaced woke up
-/// and started a task on a worker that the new owner had not yet talked to
-/// about it. Workers refuse an epoch that is lower than one they have seen.
+/// Guards against a gang with an extra member. It happened when a replaced owner
+/// resumed after a pause and started a task on a worker whose reservation the new
+/// owner had not ended yet. Workers refuse an epoch that is lower than one they
+/// have seen.
 #[test]
-fn worker_refuses_a_replaced_owner() {
+fn a_worker_refuses_a_replaced_owner() {
     let mut worker = WorkerStandIn::new("w0");
     let attempt = AttemptId {
         job: JobId(1),
@@ -312,14 +322,15 @@
     assert!(worker.runs.is_empty());
 }
 
-/// A patch was undone for a while: a daemon that had been cut off became owner
-/// and decided with the configuration that it still had. The ledger names the
-/// version that it was written with, and an older daemon gives the lease back.
+/// Guards against a configuration patch that is temporarily reverted. It happened
+/// when a daemon that had been disconnected became owner and decided with its
+/// older configuration. The ledger contains the version that it was written with,
+/// and a daemon with an older version releases the lease.
 #[test]
-fn daemon_with_an_older_configuration_does_not_become_owner() {
+fn a_daemon_with_an_older_configuration_does_not_become_owner() {
     let mut store = StoreStandIn::default();
     let mut first = Owner::open(Settings::new("zg-dubrava", "d1", 1));
-    start(5)
+    startup_events(5)
         .into_iter()
         .for_each(|event| drive(&mut first, &mut store, event, 1_000));
     let request = submit(submission("k", "b", "standard", 1, 10), 1_000);
@@ -343,14 +354,14 @@
     assert!(!second.is_owner());
 }
 
-/// A job was accepted twice in the ledger's history: the answer to the write
-/// was lost and the write was repeated on a guess. The write carries a name,
-/// and is read back before anything else is done.
+/// Guards against a job that is accepted twice in the ledger. It happened when
+/// the answer to a write was lost and the write was repeated blindly. Each write
+/// has an id and is read back before the next call.
 #[test]
-fn lost_answer_is_read_back_before_anything_is_written_again() {
+fn a_write_with_a_lost_answer_is_read_back_before_the_next_write() {
     let mut store = StoreStandIn::default();
     let mut owner = Owner::open(Settings::new("zg-dubrava", "d1", 1));
-    start(1)
+    startup_events(1)
         .into_iter()
         .for_each(|event| drive(&mut owner, &mut store, event, 1_000));
     let before = store.version("cell/zg-dubrava/root");
@@ -361,7 +372,7 @@
         Action::Store { call, request } => Some((call, request)),
         _ => None,
     }) else {
-        panic!("the acceptance is written");
+        panic!("the acceptance causes no store call");
     };
     let lost = store.handle(write, 1_010);
     assert_eq!(lost, Err(StoreFailure::Timeout));
@@ -391,10 +402,11 @@
     assert!(matches!(replies.as_slice(), [Reply::Accepted(_)]));
 }
 
-/// A caller cancelled a job and was told that it had not run, and ordered the
-/// part elsewhere. It had run once and failed, and waited for its next attempt.
+/// Guards against a cancelled job that is reported as not run although it had run
+/// once, failed, and was waiting for its next attempt. The caller relied on the
+/// report and had the work done elsewhere.
 #[test]
-fn cancelled_after_a_failure_is_not_said_not_to_have_run() {
+fn a_job_cancelled_after_a_failure_is_not_reported_as_not_run() {
     let mut cell = small_cell();
     let job = submission("o", "b", "overnight", 1, 1_000);
     cell.apply(
@@ -438,21 +450,22 @@
     );
 }
 
-fn reply_to(actions: &[Action], wanted: u64) -> Option<&Reply> {
+fn reply_to(actions: &[Action], expected_token: u64) -> Option<&Reply> {
     actions.iter().find_map(|action| match action {
-        Action::Reply { token, reply } if *token == wanted => Some(reply),
+        Action::Reply { token, reply } if *token == expected_token => Some(reply),
         _ => None,
     })
 }
 
-/// A caller was told "not run" of a job that was running. The answer to its
-/// submission had been lost, it sent the key again while the owner drained, and
-/// the owner refused without asking its ledger for the key.
+/// Guards against a refusal that says "not run" about a running job. It happened
+/// when the reply to the submission was lost and the caller retried with the same
+/// key during a drain: the owner refused without looking up the key in its
+/// ledger.
 #[test]
-fn refusal_does_not_say_not_run_of_an_accepted_key() {
+fn a_refusal_for_an_accepted_key_does_not_claim_not_run() {
     let mut store = StoreStandIn::default();
     let mut owner = Owner::open(Settings::new("zg-dubrava", "d1", 1));
-    start(1)
+    startup_events(1)
         .into_iter()
         .for_each(|event| drive(&mut owner, &mut store, event, 1_000));
     let job = submission("k", "b", "standard", 1, 10);
@@ -464,21 +477,21 @@
         1_001,
     );
     let stale_ms = 1_000 + 6_500;
-    let leases: Vec<u64> = (1_400..stale_ms).step_by(400).collect();
-    leases
+    let ticks_ms: Vec<u64> = (1_400..stale_ms).step_by(400).collect();
+    ticks_ms
         .iter()
-        .for_each(|&at_ms| drive(&mut owner, &mut store, Event::Tick, at_ms));
+        .for_each(|&now_ms| drive(&mut owner, &mut store, Event::Tick, now_ms));
 
-    let again = submit(job, stale_ms);
-    let known = owner.handle(
+    let retry = submit(job, stale_ms);
+    let accepted_key_actions = owner.handle(
         Event::Request {
             token: 2,
-            request: again,
+            request: retry,
         },
         stale_ms,
     );
     let other = submit(submission("other", "b", "standard", 1, 10), stale_ms);
-    let unknown = owner.handle(
+    let new_key_actions = owner.handle(
         Event::Request {
             token: 3,
             request: other,
@@ -487,28 +500,29 @@
     );
 
     assert!(
-        matches!(reply_to(&known, 2), Some(Reply::Accepted(_))),
-        "{known:?}"
+        matches!(reply_to(&accepted_key_actions, 2), Some(Reply::Accepted(_))),
+        "{accepted_key_actions:?}"
     );
-    let refused = matches!(reply_to(&unknown, 3), Some(Reply::Refused(refusal)) if refusal.not_run);
-    assert!(refused, "{unknown:?}");
+    let refused =
+        matches!(reply_to(&new_key_actions, 3), Some(Reply::Refused(refusal)) if refusal.not_run);
+    assert!(refused, "{new_key_actions:?}");
 }
 
-/// A job ran although its caller was told that it would not. Two copies of the
-/// request were on their way through two daemons; one was refused, and the
-/// other arrived later, when there was room again.
+/// Guards against a job that runs although its caller was told that it would not.
+/// It happened when two copies of a request were forwarded by two daemons: one
+/// was refused, and the other arrived later, when jobs were accepted again.
 #[test]
-fn late_copy_of_a_refused_request_is_refused_too() {
+fn a_late_copy_of_a_refused_request_is_refused_too() {
     let mut store = StoreStandIn::default();
     let mut owner = Owner::open(Settings::new("zg-dubrava", "d1", 1));
-    start(1)
+    startup_events(1)
         .into_iter()
         .for_each(|event| drive(&mut owner, &mut store, event, 1_000));
     let stale_ms = 1_000 + 6_500;
-    let leases: Vec<u64> = (1_400..stale_ms).step_by(400).collect();
-    leases
+    let ticks_ms: Vec<u64> = (1_400..stale_ms).step_by(400).collect();
+    ticks_ms
         .iter()
-        .for_each(|&at_ms| drive(&mut owner, &mut store, Event::Tick, at_ms));
+        .for_each(|&now_ms| drive(&mut owner, &mut store, Event::Tick, now_ms));
     let job = submission("k", "b", "standard", 1, 10);
     let request = submit(job.clone(), stale_ms);
     owner.handle(Event::Request { token: 1, request }, stale_ms);
@@ -523,13 +537,13 @@
         },
         stale_ms + 1,
     );
-    let again = submit(job, stale_ms + 100);
+    let retry = submit(job, stale_ms + 100);
     drive(
         &mut owner,
         &mut store,
         Event::Request {
             token: 3,
-            request: again,
+            request: retry,
         },
         stale_ms + 100,
     );
@@ -541,10 +555,10 @@
     assert_eq!(owner.cell().map(|cell| cell.jobs().count()), Some(1));
 }
 
-/// The effect that tells a caller "accepted" never overtakes the change that
-/// makes it so.
+/// The effect that reports an acceptance follows the change that persists it and
+/// is gated on that change.
 #[test]
-fn acceptance_is_gated_on_its_record() {
+fn an_acceptance_is_gated_on_its_record() {
     let mut cell = small_cell();
     let job = submission("k", "b", "overnight", 1, 10);
 
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -1,9 +1,9 @@
-//! Owners, store and workers in virtual time: the pure parts joined by a queue
-//! of deliveries, with a fault switch on every wire.
+//! Simulates owners, the store, workers and callers in virtual time. A queue
+//! delivers calls and answers between them, and each connection can fail.
 #![allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "each test file uses some of it"
+    reason = "each test file uses a part of this module"
 )]
 
 use fuchsiaslip::backend::{
@@ -50,30 +50,44 @@
 use std::sync::Arc;
 
 pub const DATA_CENTRE: &str = "zg-dubrava";
-const STORE_MS: u64 = 2;
-const WORKER_MS: u64 = 1;
+/// Time of a call to the store, and of its answer.
+const STORE_DELAY_MS: u64 = 2;
+/// Time of a call to a worker, and of its answer.
+const WORKER_DELAY_MS: u64 = 1;
 const TICK_MS: u64 = 50;
-const KEEPER_MS: u64 = 200;
+/// Interval of the polls of all workers and of the configuration's updates.
+const WORKER_POLL_MS: u64 = 200;
 const WORKER_LEASE_MS: u64 = 4_000;
 const CALLER_RETRY_MS: u64 = 300;
+/// Time in which a worker that is leaving may still get work that the owner
+/// decided on before it was informed.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// Something that goes wrong once, when the step is reached.
+/// A fault that is injected once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     OwnerDies,
+    /// The owner's process is paused and then continues.
     OwnerPaused,
     OwnerDrains,
+    /// The owner's calls to workers fail for a while.
     OwnerCutFromWorkers,
     StoreDown,
     StoreSlow,
+    /// Writes to the store take effect, but their answers are lost.
     AnswerLost,
+    /// Answers of the store are delivered twice.
     AnswerDuplicated,
+    /// Answers of the store are delivered late.
     AnswerLate,
-    WorkerDies,
-    WorkerSilent,
+    /// A worker restarts and loses its tasks.
+    WorkerRestarts,
+    /// No call reaches a worker for a while; its tasks go on.
+    WorkerUnreachable,
     WorkerFailsStarts,
+    /// Calls to workers take effect, but their answers are lost.
     FramesLost,
+    /// A caller loses the replies to its requests in progress.
     CallerGone,
     WorkerLeaving,
 }
@@ -89,8 +103,8 @@
         Fault::AnswerLost,
         Fault::AnswerDuplicated,
         Fault::AnswerLate,
-        Fault::WorkerDies,
-        Fault::WorkerSilent,
+        Fault::WorkerRestarts,
+        Fault::WorkerUnreachable,
         Fault::WorkerFailsStarts,
         Fault::FramesLost,
         Fault::CallerGone,
@@ -98,20 +112,23 @@
     ];
 }
 
+/// A message in flight, with the index of the node that sent or receives it.
 enum Delivery {
     StoreCall(usize, CallId, StoreCall),
     WorkerCall(usize, CallId, String, WorkerCall),
     Event(usize, Event),
 }
 
+/// A daemon.
 struct Node {
     owner: Owner,
     alive: bool,
-    frozen_until_ms: u64,
-    cut_until_ms: u64,
+    paused_until_ms: u64,
+    /// Until then its calls to workers fail.
+    cut_off_until_ms: u64,
 }
 
-/// One caller with one job.
+/// A caller that submits one job and waits for its end.
 #[derive(Clone, Debug)]
 pub struct Caller {
     pub submission: Submission,
@@ -121,7 +138,9 @@
     pub refused: bool,
     pub ended: Option<Ended>,
     pub gone: bool,
-    asked: Option<(u64, u64)>,
+    /// Token of the last request, or 0 once it was answered, and the time of the
+    /// request or of the answer.
+    last_request: Option<(u64, u64)>,
     cancelled: bool,
 }
 
@@ -135,7 +154,7 @@
             refused: false,
             ended: None,
             gone: false,
-            asked: None,
+            last_request: None,
             cancelled: false,
         }
     }
@@ -145,10 +164,10 @@
     }
 }
 
-/// Finds the caller whose job has reached a step.
+/// Returns the index of the caller whose job has reached a given step.
 pub type Reached = Box<dyn Fn(&World) -> Option<usize>>;
 
-/// The world of one cell of the matrix.
+/// The simulated data centre.
 pub struct World {
     pub now_ms: u64,
     pub store: StoreStandIn,
@@ -156,22 +175,27 @@
     pub callers: Vec<Caller>,
     pub violations: Vec<String>,
     nodes: Vec<Node>,
+    /// Messages in flight by time of delivery and sequence number.
     queue: BTreeMap<(u64, u64), Delivery>,
     next_delivery: u64,
     next_token: u64,
+    /// Caller of each unanswered request.
     tokens: HashMap<u64, usize>,
+    /// Poll cursor of each worker.
     cursors: HashMap<String, u64>,
     last_seen_ms: HashMap<String, u64>,
     configuration: Arc<Configuration>,
     store_down_until_ms: u64,
     store_slow_until_ms: u64,
-    silent_until_ms: BTreeMap<String, u64>,
+    unreachable_until_ms: BTreeMap<String, u64>,
     failing_until_ms: BTreeMap<String, u64>,
-    left_at_ms: BTreeMap<String, u64>,
+    leaving_since_ms: BTreeMap<String, u64>,
     duplicate_answers: u32,
     late_answers: u32,
     lost_frames: u32,
-    seen_version: u64,
+    /// Highest configuration version that an owner has had in force.
+    highest_version: u64,
+    /// Faults that are still to be injected, and when.
     trigger: Option<(Reached, Vec<Fault>)>,
 }
 
@@ -197,17 +221,17 @@
             }),
             store_down_until_ms: 0,
             store_slow_until_ms: 0,
-            silent_until_ms: BTreeMap::new(),
+            unreachable_until_ms: BTreeMap::new(),
             failing_until_ms: BTreeMap::new(),
-            left_at_ms: BTreeMap::new(),
+            leaving_since_ms: BTreeMap::new(),
             duplicate_answers: 0,
             late_answers: 0,
             lost_frames: 0,
-            seen_version: 0,
+            highest_version: 0,
             trigger: None,
         };
-        for at in 0..workers {
-            let name = format!("w{at:03}-{}", at / rack_size);
+        for index in 0..workers {
+            let name = format!("w{index:03}-{}", index / rack_size);
             world
                 .workers
                 .insert(name.clone(), WorkerStandIn::new(&name));
@@ -217,24 +241,25 @@
         world
     }
 
-    /// A daemon that has just started.
+    /// Adds a daemon that has just started.
     pub fn add_node(&mut self) {
-        let at = self.nodes.len();
-        let mut settings = Settings::new(DATA_CENTRE, &format!("d{at}"), (at as u64 + 1) << 40);
+        let index = self.nodes.len();
+        let mut settings =
+            Settings::new(DATA_CENTRE, &format!("d{index}"), (index as u64 + 1) << 40);
         settings.worker_lease_ms = WORKER_LEASE_MS;
         settings.worker_margin_ms = 500;
         settings.limits.start_timeout_ms = 3_000;
         self.nodes.push(Node {
             owner: Owner::open(settings),
             alive: true,
-            frozen_until_ms: 0,
-            cut_until_ms: 0,
+            paused_until_ms: 0,
+            cut_off_until_ms: 0,
         });
         let members = self.members();
         let configuration = self.configuration.clone();
-        self.event(at, Event::Members(members));
-        self.event(at, Event::Configuration(configuration));
-        self.event(at, Event::Candidacy(true));
+        self.send_event(index, Event::Members(members));
+        self.send_event(index, Event::Configuration(configuration));
+        self.send_event(index, Event::Candidacy(true));
     }
 
     fn members(&self) -> Vec<VmRecord> {
@@ -250,7 +275,7 @@
         self.workers.keys().map(record).collect()
     }
 
-    /// Puts the next version of the configuration in force.
+    /// Creates the next version of the configuration.
     pub fn configure(&mut self, change: impl FnOnce(&mut Declaration)) {
         let mut next = self.configuration.as_ref().clone();
         next.version += 1;
@@ -264,68 +289,75 @@
             .insert((self.now_ms + delay_ms, self.next_delivery), delivery);
     }
 
-    fn event(&mut self, node: usize, event: Event) {
+    fn send_event(&mut self, node: usize, event: Event) {
         if !self.nodes[node].alive {
             return;
         }
-        let thaw_ms = self.nodes[node].frozen_until_ms;
-        if thaw_ms > self.now_ms {
-            // A paused process sees what was sent to it when it goes on; ticks
-            // are not queued up.
+        let resume_ms = self.nodes[node].paused_until_ms;
+        if resume_ms > self.now_ms {
+            // A paused process gets its messages when it continues. Ticks do not
+            // accumulate.
             if !matches!(event, Event::Tick) {
-                self.deliver(thaw_ms - self.now_ms, Delivery::Event(node, event));
+                self.deliver(resume_ms - self.now_ms, Delivery::Event(node, event));
             }
             return;
         }
         let actions = self.nodes[node].owner.handle(event, self.now_ms);
         for action in actions {
-            self.act(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: Action) {
+    fn execute(&mut self, node: usize, action: Action) {
         match action {
             Action::Store { call, request } => {
-                self.deliver(STORE_MS, Delivery::StoreCall(node, call, request));
+                self.deliver(STORE_DELAY_MS, Delivery::StoreCall(node, call, request));
             }
             Action::Worker {
                 call,
                 worker,
                 request,
                 ..
-            } => self.deliver(WORKER_MS, Delivery::WorkerCall(node, call, worker, request)),
-            Action::Reply { token, reply } => self.replied(token, reply),
+            } => self.deliver(
+                WORKER_DELAY_MS,
+                Delivery::WorkerCall(node, call, worker, request),
+            ),
+            Action::Reply { token, reply } => self.handle_reply(token, reply),
         }
     }
 
-    fn replied(&mut self, token: u64, reply: Reply) {
-        let Some(at) = self.tokens.remove(&token) else {
+    fn handle_reply(&mut self, token: u64, reply: Reply) {
+        let Some(index) = self.tokens.remove(&token) else {
             return;
         };
         let now_ms = self.now_ms;
-        let caller = &mut self.callers[at];
-        caller.asked = Some((0, now_ms));
+        let caller = &mut self.callers[index];
+        caller.last_request = Some((0, now_ms));
         match reply {
             Reply::Accepted(job) => {
                 if caller.job.is_some_and(|known| known != job) {
-                    self.violations.push(format!("key {at} made two jobs"));
+                    self.violations
+                        .push(format!("two jobs were accepted for key {index}"));
                 }
                 caller.job = Some(job);
-                caller.asked = None;
+                caller.last_request = None;
             }
-            // A refusal for a passing reason is tried again with the same key.
+            // A submission that is refused for a transient reason is retried with
+            // the same key.
             Reply::Refused(refusal) => caller.refused = refusal.retry_after_ms == 0,
             Reply::Ended(ended) => {
-                self.check_answer(at, &ended);
-                self.callers[at].ended = Some(*ended);
+                self.check_answer(index, &ended);
+                self.callers[index].ended = Some(*ended);
             }
-            Reply::NotFound => self.violations.push(format!("accepted job {at} was lost")),
+            Reply::NotFound => self
+                .violations
+                .push(format!("accepted job {index} was lost")),
             _ => {}
         }
     }
 
-    fn check_answer(&mut self, at: usize, ended: &Ended) {
-        let caller = &self.callers[at];
+    fn check_answer(&mut self, index: usize, ended: &Ended) {
+        let caller = &self.callers[index];
         let Some(job) = caller.job else {
             return;
         };
@@ -333,7 +365,7 @@
             let expected = TaskSpec::answer(job, &caller.submission.payload);
             if answer.inline != expected {
                 self.violations
-                    .push(format!("caller {at} got another answer"));
+                    .push(format!("caller {index} got a wrong answer"));
             }
         }
     }
@@ -341,7 +373,7 @@
     fn run_store_call(&mut self, node: usize, call: CallId, request: StoreCall) {
         self.store.faults.down = self.now_ms < self.store_down_until_ms;
         let result = self.store.handle(request, self.now_ms);
-        let mut delay_ms = STORE_MS;
+        let mut delay_ms = STORE_DELAY_MS;
         if self.now_ms < self.store_slow_until_ms {
             delay_ms += 900;
         }
@@ -358,13 +390,13 @@
     }
 
     fn run_worker_call(&mut self, node: usize, call: CallId, name: &str, request: WorkerCall) {
-        let cut = self.nodes[node].cut_until_ms > self.now_ms;
-        let lost = self.lost_frames > 0;
+        let is_cut_off = self.nodes[node].cut_off_until_ms > self.now_ms;
+        let is_lost = self.lost_frames > 0;
         let result = match self.workers.get_mut(name) {
-            Some(worker) if !cut => {
+            Some(worker) if !is_cut_off => {
                 let answer = worker.handle(request, self.now_ms);
-                // Half of the lost frames are answers, whose calls took effect.
-                match lost {
+                // The call takes effect, and only its answer is lost.
+                match is_lost {
                     true => {
                         self.lost_frames -= 1;
                         Err(fuchsiaslip::backend::WorkerFailure::Silent)
@@ -375,7 +407,7 @@
             _ => Err(fuchsiaslip::backend::WorkerFailure::Silent),
         };
         let delay_ms = match result {
-            Ok(_) => WORKER_MS,
+            Ok(_) => WORKER_DELAY_MS,
             Err(_) => 500,
         };
         self.deliver(
@@ -384,38 +416,39 @@
         );
     }
 
-    /// Index of the node that owns the data centre, as far as it is awake.
+    /// Returns the index of the owner with the highest epoch among the nodes that
+    /// are alive and not paused.
     pub fn owner(&self) -> Option<usize> {
         self.nodes
             .iter()
             .enumerate()
-            .filter(|(_, node)| node.alive && node.frozen_until_ms <= self.now_ms)
-            .filter_map(|(at, node)| node.owner.epoch().map(|epoch| (epoch, at)))
+            .filter(|(_, node)| node.alive && node.paused_until_ms <= self.now_ms)
+            .filter_map(|(index, node)| node.owner.epoch().map(|epoch| (epoch, index)))
             .max()
-            .map(|(_, at)| at)
+            .map(|(_, index)| index)
     }
 
     pub fn cell(&self) -> Option<&Cell> {
         self.nodes[self.owner()?].owner.cell()
     }
 
-    /// Where a caller's job stands at the owner.
+    /// Returns the state of a caller's job at the owner.
     pub fn state_of(&self, caller: usize) -> Option<JobState> {
         let job = self.callers[caller].job?;
         Some(self.cell()?.job(job)?.state)
     }
 
-    /// Lets `faults` happen as soon as `reached` finds a caller.
-    pub fn when(&mut self, reached: Reached, faults: &[Fault]) {
+    /// Injects `faults` as soon as `reached` returns a caller.
+    pub fn inject_when(&mut self, reached: Reached, faults: &[Fault]) {
         self.trigger = Some((reached, faults.to_vec()));
     }
 
-    /// Whether the faults have happened.
+    /// Whether the faults of [`World::inject_when`] have been injected.
     pub fn has_triggered(&self) -> bool {
         self.trigger.is_none()
     }
 
-    fn pull_trigger(&mut self) {
+    fn inject_if_triggered(&mut self) {
         let Some((reached, faults)) = self.trigger.take() else {
             return;
         };
@@ -425,7 +458,7 @@
         }
     }
 
-    /// Lets one tick pass.
+    /// Advances the time by one tick and delivers what has become due.
     pub fn step(&mut self) {
         let until_ms = self.now_ms + TICK_MS;
         while let Some((&(at_ms, order), _)) = self.queue.first_key_value() {
@@ -440,27 +473,28 @@
                 Some(Delivery::WorkerCall(node, call, name, request)) => {
                     self.run_worker_call(node, call, &name, request);
                 }
-                Some(Delivery::Event(node, event)) => self.event(node, event),
+                Some(Delivery::Event(node, event)) => self.send_event(node, event),
                 None => {}
             }
-            self.check_witness();
-            self.pull_trigger();
+            self.check_pledges();
+            self.inject_if_triggered();
         }
         self.now_ms = until_ms;
-        if self.now_ms.is_multiple_of(KEEPER_MS) {
-            self.keep_workers();
-            self.follow_configuration();
+        if self.now_ms.is_multiple_of(WORKER_POLL_MS) {
+            self.poll_workers();
+            self.publish_configuration();
         }
         for node in 0..self.nodes.len() {
-            self.event(node, Event::Tick);
+            self.send_event(node, Event::Tick);
         }
-        self.ask();
-        self.pull_trigger();
+        self.send_requests();
+        self.inject_if_triggered();
         self.check_always();
     }
 
-    /// Stands in for the worker monitors: polls every worker and tells the owner.
-    fn keep_workers(&mut self) {
+    /// Simulates the worker monitors: polls every worker and reports the results
+    /// to the owner.
+    fn poll_workers(&mut self) {
         let owner = self.owner();
         for name in self.workers.keys().cloned().collect::<Vec<_>>() {
             let cursor = self.cursors.get(&name).copied().unwrap_or(0);
@@ -473,8 +507,10 @@
             let Some(worker) = self.workers.get_mut(&name) else {
                 continue;
             };
-            worker.faults.unreachable =
-                self.silent_until_ms.get(&name).is_some_and(|&t| t > now_ms);
+            worker.faults.unreachable = self
+                .unreachable_until_ms
+                .get(&name)
+                .is_some_and(|&t| t > now_ms);
             worker.faults.refuse_starts = self
                 .failing_until_ms
                 .get(&name)
@@ -494,7 +530,7 @@
                         leaving: polled.leaving,
                     };
                     let reported = worker.clone();
-                    self.event(
+                    self.send_event(
                         owner,
                         Event::WorkerUpdate {
                             worker: reported,
@@ -502,7 +538,7 @@
                         },
                     );
                     let changes = WorkerUpdate::Changes(polled.changes);
-                    self.event(
+                    self.send_event(
                         owner,
                         Event::WorkerUpdate {
                             worker,
@@ -512,14 +548,14 @@
                 }
                 _ => {
                     let seen_ms = self.last_seen_ms.get(&name).copied().unwrap_or(now_ms);
-                    let silent = WorkerUpdate::Silent {
+                    let unresponsive = WorkerUpdate::Silent {
                         silent_ms: now_ms - seen_ms,
                     };
-                    self.event(
+                    self.send_event(
                         owner,
                         Event::WorkerUpdate {
                             worker,
-                            update: silent,
+                            update: unresponsive,
                         },
                     );
                 }
@@ -527,30 +563,33 @@
         }
     }
 
-    fn follow_configuration(&mut self) {
+    /// Sends the current configuration and its confirmation to all nodes, unless
+    /// the store is down.
+    fn publish_configuration(&mut self) {
         if self.now_ms < self.store_down_until_ms {
             return;
         }
         for node in 0..self.nodes.len() {
             let configuration = self.configuration.clone();
             let asked_ms = self.now_ms;
-            self.event(node, Event::Configuration(configuration));
-            self.event(node, Event::ConfigurationConfirmed { asked_ms });
+            self.send_event(node, Event::Configuration(configuration));
+            self.send_event(node, Event::ConfigurationConfirmed { asked_ms });
         }
     }
 
-    /// Callers ask for what they have not got yet.
-    fn ask(&mut self) {
+    /// Sends the callers' requests that are due: submissions, waits for the ends of
+    /// jobs, and cancellations.
+    fn send_requests(&mut self) {
         let Some(owner) = self.owner() else {
             return;
         };
-        for at in 0..self.callers.len() {
-            let caller = &self.callers[at];
-            let waited = caller.asked.is_none_or(|(token, asked_ms)| {
-                let patience_ms = if token == 0 { CALLER_RETRY_MS } else { 5_000 };
-                self.now_ms >= asked_ms + patience_ms
+        for index in 0..self.callers.len() {
+            let caller = &self.callers[index];
+            let is_due = caller.last_request.is_none_or(|(token, sent_ms)| {
+                let retry_after_ms = if token == 0 { CALLER_RETRY_MS } else { 5_000 };
+                self.now_ms >= sent_ms + retry_after_ms
             });
-            if caller.is_settled() || self.now_ms < caller.submit_at_ms || !waited {
+            if caller.is_settled() || self.now_ms < caller.submit_at_ms || !is_due {
                 continue;
             }
             let request = match caller.job {
@@ -562,36 +601,36 @@
             };
             self.next_token += 1;
             let token = self.next_token;
-            self.tokens.insert(token, at);
-            self.callers[at].asked = Some((token, self.now_ms));
-            self.event(owner, Event::Request { token, request });
-            self.cancel_if_due(owner, at);
+            self.tokens.insert(token, index);
+            self.callers[index].last_request = Some((token, self.now_ms));
+            self.send_event(owner, Event::Request { token, request });
+            self.cancel_if_due(owner, index);
         }
-        for at in 0..self.callers.len() {
-            self.cancel_if_due(owner, at);
+        for index in 0..self.callers.len() {
+            self.cancel_if_due(owner, index);
         }
     }
 
-    fn cancel_if_due(&mut self, owner: usize, at: usize) {
-        let caller = &self.callers[at];
+    fn cancel_if_due(&mut self, owner: usize, index: usize) {
+        let caller = &self.callers[index];
         let due = caller
             .cancel_at_ms
             .is_some_and(|due_ms| due_ms <= self.now_ms);
         let (Some(job), true, false) = (caller.job, due, caller.cancelled) else {
             return;
         };
-        self.callers[at].cancelled = true;
+        self.callers[index].cancelled = true;
         let request = Request::Cancel {
-            account: caller_account(&self.callers[at]),
+            account: caller_account(&self.callers[index]),
             jobs: vec![job],
         };
         self.next_token += 1;
         let token = self.next_token;
-        self.event(owner, Event::Request { token, request });
+        self.send_event(owner, Event::Request { token, request });
     }
 
-    /// Makes a fault happen, at the worker of `caller`'s job where it is about
-    /// a worker.
+    /// Injects a fault. A fault of a worker affects a worker of the job of
+    /// `caller`, or the first worker if that job is not placed.
     pub fn inject(&mut self, fault: Fault, caller: usize) {
         let now_ms = self.now_ms;
         let owner = self.owner();
@@ -605,18 +644,18 @@
             }
             Fault::OwnerPaused => {
                 if let Some(owner) = owner {
-                    self.nodes[owner].frozen_until_ms = now_ms + 5_000;
+                    self.nodes[owner].paused_until_ms = now_ms + 5_000;
                 }
             }
             Fault::OwnerDrains => {
                 if let Some(owner) = owner {
-                    self.event(owner, Event::Drain);
+                    self.send_event(owner, Event::Drain);
                     self.add_node();
                 }
             }
             Fault::OwnerCutFromWorkers => {
                 if let Some(owner) = owner {
-                    self.nodes[owner].cut_until_ms = now_ms + 3_000;
+                    self.nodes[owner].cut_off_until_ms = now_ms + 3_000;
                 }
             }
             Fault::StoreDown => self.store_down_until_ms = now_ms + 8_000,
@@ -624,76 +663,79 @@
             Fault::AnswerLost => self.store.faults.lose_answers += 2,
             Fault::AnswerDuplicated => self.duplicate_answers += 4,
             Fault::AnswerLate => self.late_answers += 2,
-            Fault::WorkerDies => {
+            Fault::WorkerRestarts => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
                     worker.restart(now_ms);
                 }
                 self.cursors.remove(&worker);
             }
-            Fault::WorkerSilent => {
-                self.silent_until_ms.insert(worker, now_ms + 9_000);
+            Fault::WorkerUnreachable => {
+                self.unreachable_until_ms.insert(worker, now_ms + 9_000);
             }
             Fault::WorkerFailsStarts => {
                 self.failing_until_ms.insert(worker, now_ms + 10_000);
             }
             Fault::FramesLost => self.lost_frames += 3,
             Fault::CallerGone => {
-                self.tokens.retain(|_, at| *at != caller);
+                self.tokens.retain(|_, index| *index != caller);
                 self.callers[caller].gone = true;
             }
             Fault::WorkerLeaving => {
                 if let Some(worker) = self.workers.get_mut(&worker) {
                     worker.set_leaving(true);
                 }
-                self.left_at_ms.insert(worker, now_ms);
+                self.leaving_since_ms.insert(worker, now_ms);
             }
         }
     }
 
     fn worker_of(&self, caller: usize) -> String {
-        let placed = self.callers[caller].job.and_then(|job| {
+        let worker_of_job = self.callers[caller].job.and_then(|job| {
             let cell = self.cell()?;
             let member = cell.job(job)?.members.first()?;
             Some(cell.fleet().worker(member.worker).name.clone())
         });
-        placed.unwrap_or_else(|| self.workers.keys().next().cloned().unwrap_or_default())
+        worker_of_job.unwrap_or_else(|| self.workers.keys().next().cloned().unwrap_or_default())
     }
 
-    /// The witness: in each pledge only free accelerators, the account's own
-    /// work, and work that can be taken back.
-    fn check_witness(&mut self) {
+    /// Checks that each guarantee can be reclaimed: the accelerators pledged to it
+    /// are free, or used by the account itself or by reclaimable work.
+    fn check_pledges(&mut self) {
         let Some(cell) = self.cell() else {
             return;
         };
-        if let Some(broken) = witness_violation(cell) {
-            self.violations.push(broken);
+        if let Some(violation) = pledge_violation(cell) {
+            self.violations.push(violation);
         }
     }
 
+    /// Checks that the configuration version never decreases and that workers
+    /// that are leaving get no new work.
     fn check_always(&mut self) {
         if let Some(version) = self.cell().map(Cell::configuration_version) {
-            if version < self.seen_version {
+            if version < self.highest_version {
                 self.violations
                     .push("the configuration reverted".to_owned());
             }
-            self.seen_version = self.seen_version.max(version);
+            self.highest_version = self.highest_version.max(version);
         }
-        for (name, &left_ms) in &self.left_at_ms {
+        for (name, &leaving_ms) in &self.leaving_since_ms {
             let started_ms = self.workers[name].last_start_ms.unwrap_or(0);
-            if started_ms > left_ms + LEAVING_GRACE_MS {
+            if started_ms > leaving_ms + LEAVING_GRACE_MS {
                 self.violations
                     .push(format!("{name} was leaving and got new work"));
             }
         }
     }
 
-    /// What has to hold at the end, when every caller is settled.
+    /// Checks the final state: every caller has its result, and the runs on the
+    /// workers agree with the reported outcomes.
     pub fn check_end(&mut self) {
-        for (at, caller) in self.callers.iter().enumerate() {
+        for (index, caller) in self.callers.iter().enumerate() {
             if !caller.is_settled() {
                 self.violations.push(format!(
-                    "caller {at} was never answered: {:?}",
-                    self.state_of(at)
+                    "caller {index} was never answered: {:?}",
+                    self.state_of(index)
                 ));
             }
         }
@@ -701,19 +743,22 @@
     }
 
     fn check_runs(&mut self) {
-        let mut begun: HashMap<JobId, Vec<AttemptId>> = HashMap::new();
-        let mut open = Vec::new();
+        let mut attempts_by_job: HashMap<JobId, Vec<AttemptId>> = HashMap::new();
+        let mut unfinished = Vec::new();
         for worker in self.workers.values() {
             for run in &worker.runs {
-                begun.entry(run.attempt.job).or_default().push(run.attempt);
+                attempts_by_job
+                    .entry(run.attempt.job)
+                    .or_default()
+                    .push(run.attempt);
                 if run.ended_ms.is_none() {
-                    open.push((worker.name.clone(), run.attempt));
+                    unfinished.push((worker.name.clone(), run.attempt));
                 }
             }
-            let mut taken: Vec<_> = worker.runs.iter().collect();
-            taken.sort_by_key(|run| run.began_ms);
-            for (at, run) in taken.iter().enumerate() {
-                for later in &taken[at + 1..] {
+            let mut runs: Vec<_> = worker.runs.iter().collect();
+            runs.sort_by_key(|run| run.began_ms);
+            for (index, run) in runs.iter().enumerate() {
+                for later in &runs[index + 1..] {
                     let overlap = run.ended_ms.is_none_or(|end| end > later.began_ms);
                     if overlap && run.mask & later.mask != 0 {
                         self.violations
@@ -722,41 +767,43 @@
                 }
             }
         }
-        for attempts in begun.values_mut() {
+        for attempts in attempts_by_job.values_mut() {
             attempts.sort_unstable();
             attempts.dedup();
         }
         let mut violations = Vec::new();
-        for (at, caller) in self.callers.iter().enumerate() {
+        for (index, caller) in self.callers.iter().enumerate() {
             let Some(job) = caller.job else {
                 continue;
             };
-            let attempts = begun.get(&job).map_or(0, Vec::len);
+            let attempts = attempts_by_job.get(&job).map_or(0, Vec::len);
             if !caller.submission.idempotent && attempts > 1 {
-                violations.push(format!("non-idempotent job {at} ran {attempts} times"));
+                violations.push(format!("non-idempotent job {index} ran {attempts} times"));
             }
             let outcome = caller
                 .ended
                 .as_ref()
                 .map(|ended| ended.report.outcome.clone());
-            let not_run = outcome == Some(OutcomeCode::CancelledNotRun.name().to_owned());
-            if not_run && attempts > 0 {
-                violations.push(format!("job {at} was said not to have run, but ran"));
+            let is_reported_not_run =
+                outcome == Some(OutcomeCode::CancelledNotRun.name().to_owned());
+            if is_reported_not_run && attempts > 0 {
+                violations.push(format!("job {index} was reported as not run, but ran"));
             }
             if outcome == Some(OutcomeCode::Served.name().to_owned()) {
-                let whole =
+                let is_complete =
                     self.finished_members(job) >= usize::from(caller.submission.workers as u16);
-                if !whole {
-                    violations.push(format!("job {at} was served without all its members"));
+                if !is_complete {
+                    violations.push(format!("job {index} was served without all its members"));
                 }
             }
         }
-        for (worker, attempt) in open {
+        for (worker, attempt) in unfinished {
             violations.push(format!("{worker} still runs {attempt:?} of a settled job"));
         }
         self.violations.extend(violations);
     }
 
+    /// Returns the largest number of members that finished in one attempt.
     fn finished_members(&self, job: JobId) -> usize {
         let runs = self.workers.values().flat_map(|worker| &worker.runs);
         let finished = runs.filter(|run| run.attempt.job == job && run.finished);
@@ -767,13 +814,13 @@
         by_attempt.into_values().max().unwrap_or(0)
     }
 
-    /// A gang that the owner counts as running has every member running or
-    /// finished on its worker, unless the worker has just gone.
+    /// Checks that each member of a gang that the owner considers running has
+    /// begun on its worker, unless the worker is unhealthy or was unreachable.
     pub fn check_gangs(&mut self) {
         let Some(cell) = self.cell() else {
             return;
         };
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (_, job) in cell
             .jobs()
             .filter(|(_, job)| job.state == JobState::Running)
@@ -781,18 +828,18 @@
             let attempt = job.attempt_id();
             for member in &job.members {
                 let worker = cell.fleet().worker(member.worker);
-                let unsure = worker.health != WorkerHealth::Healthy
-                    || self.silent_until_ms.contains_key(&worker.name);
+                let may_be_lost = worker.health != WorkerHealth::Healthy
+                    || self.unreachable_until_ms.contains_key(&worker.name);
                 let state = self.workers[&worker.name].task_state(attempt);
-                if matches!(state, TaskState::NotBegun) && !unsure {
-                    broken.push(format!(
+                if matches!(state, TaskState::NotBegun) && !may_be_lost {
+                    violations.push(format!(
                         "{attempt:?} counts as running without {}",
                         worker.name
                     ));
                 }
             }
         }
-        self.violations.extend(broken);
+        self.violations.extend(violations);
     }
 }
 
@@ -800,30 +847,33 @@
     caller.submission.account.clone()
 }
 
-/// The first pledged accelerator that could not be had back, if any, although
-/// no shortfall of its account is reported.
-pub fn witness_violation(cell: &Cell) -> Option<String> {
+/// Describes the first pledged accelerator that cannot be reclaimed although no
+/// shortfall of its account is reported, if there is one.
+pub fn pledge_violation(cell: &Cell) -> Option<String> {
     let shortfalls = cell.shortfalls();
     for (_, pledge) in cell.pledges() {
         let account = &cell.accounts()[pledge.account.index()].declaration.name;
         if shortfalls.iter().any(|short| short.account == *account) {
             continue;
         }
-        for &(key, mask) in &pledge.members {
-            let worker = cell.fleet().worker(key);
+        for &(worker_key, mask) in &pledge.members {
+            let worker = cell.fleet().worker(worker_key);
             for bit in (0..16).filter(|bit| mask >> bit & 1 == 1) {
                 let Some(holder) = worker.holder(bit) else {
                     continue;
                 };
                 let job = cell
                     .jobs()
-                    .find(|(at, _)| *at == holder)
+                    .find(|(id, _)| *id == holder)
                     .map(|(_, job)| job);
-                let may_stay = job.is_some_and(|job| {
+                let is_allowed = job.is_some_and(|job| {
                     job.yields || job.account == pledge.account || job.state == JobState::Recovering
                 });
-                if !may_stay {
-                    return Some(format!("{} of {} cannot be had back", bit, worker.name));
+                if !is_allowed {
+                    return Some(format!(
+                        "accelerator {} of {} cannot be reclaimed",
+                        bit, worker.name
+                    ));
                 }
             }
         }
