--- a/src/ledger/job_pages.rs
+++ b/src/ledger/job_pages.rs
@@ -15,10 +15,10 @@
     BTreeSet, //
 };
 
-/// Size that a page may not exceed when a job is added to it.
+/// A job that would make the open page larger than this goes to a new page.
 const FULL_PAGE_BYTES: usize = 128 << 10;
-/// A page that shrinks below this size is dropped and its jobs are moved to the
-/// open page.
+/// A compaction drops a changed page that is smaller than this and moves its jobs
+/// to the open page.
 const SPARSE_PAGE_BYTES: usize = 16 << 10;
 
 /// The stored content of one page.
@@ -37,6 +37,7 @@
     page: Option<u32>,
 }
 
+/// The ids of the jobs on a page and their encoded size.
 #[derive(Debug, Default)]
 struct Page {
     jobs: BTreeSet<u64>,
@@ -48,12 +49,12 @@
 pub struct JobPages {
     jobs: BTreeMap<u64, Entry>,
     pages: BTreeMap<u32, Page>,
-    /// Jobs changed since the last compaction.
+    /// Ids of the jobs changed since the last compaction.
     changed_jobs: BTreeSet<u64>,
-    /// Pages whose stored content is out of date. A compaction adds the pages of
-    /// `changed_jobs`.
+    /// Numbers of the pages whose stored content is out of date. A compaction adds
+    /// the pages of `changed_jobs`.
     changed_pages: BTreeSet<u32>,
-    /// Page to which jobs are added.
+    /// Number of the page to which jobs are added.
     open_page: u32,
 }
 
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -78,8 +78,11 @@
     owner: String,
     epoch: u64,
     next_write_id: u64,
+    /// Version of the root value in the store.
     root_version: u64,
+    /// Pages to which the root refers, by number.
     pages: BTreeMap<u32, PageRef>,
+    /// Known versions of page slots in the store, by key.
     slot_versions: BTreeMap<String, u64>,
     job_pages: JobPages,
     /// Number of commits to the ledger so far.
--- a/src/owner/message.rs
+++ b/src/owner/message.rs
@@ -57,7 +57,7 @@
 /// A job that has ended, with its answer.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// The job.
+    /// The job's final state.
     pub report: JobReport,
     /// The job's answer, if it was served.
     pub answer: Option<AnswerRecord>,
@@ -96,8 +96,8 @@
     /// This daemon does not own the data centre; nothing was done.
     NotOwner,
     /// It is not known whether the request took effect, for example because
-    /// ownership was lost before the request was durable. A retry with the same
-    /// idempotency key tells.
+    /// ownership was lost before the request was durable. A retry of a submission
+    /// with the same idempotency key finds out.
     OutcomeUnknown,
 }
 
--- a/src/owner/requests.rs
+++ b/src/owner/requests.rs
@@ -94,7 +94,7 @@
             submission.idempotency_key.clone(),
         );
         // A copy of a refused request that arrives late must not be accepted:
-        // the caller was told that the job will not run. A retry by the caller
+        // the earlier reply said that the job will not run. A retry by the caller
         // has a later `asked_ms` than the refused request.
         if let Some(earlier) = self
             .recent_refusals
@@ -175,8 +175,8 @@
         self.recent_refusals.insert(key, earlier);
     }
 
-    /// Returns why no submission can be accepted now, if so. This is checked
-    /// before the core gets the job, so that "not run" is true.
+    /// Returns why submissions are refused now, or `None` if they are accepted.
+    /// This is checked before the core gets the job, so that "not run" is true.
     pub(super) fn reason_to_refuse(&self) -> Option<RefusalReason> {
         let Phase::Owning(owning) = &self.phase else {
             return Some(RefusalReason::NoOwner);
--- a/src/owner/state.rs
+++ b/src/owner/state.rs
@@ -109,7 +109,7 @@
     pub(super) next_core_tick_ms: u64,
     /// Start of the commit in progress.
     pub(super) commit_started_ms: Option<u64>,
-    /// Whether the core is told not to place work.
+    /// Whether the core is paused, so that it places no work.
     pub(super) paused: bool,
 }
 
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -63,7 +63,8 @@
             self.members.insert(vm.name.clone(), vm);
         }
         // A worker that is no longer listed gets no new work. Its tasks are
-        // treated as stopped only when it has not responded for its lease.
+        // treated as stopped only when it has not responded for longer than its
+        // lease.
         for name in unlisted {
             if let Some(vm) = self.members.get_mut(&name) {
                 vm.leaving = true;
--- a/tests/owner_failures.rs
+++ b/tests/owner_failures.rs
@@ -508,8 +508,8 @@
     assert!(refused, "{new_key_actions:?}");
 }
 
-/// Guards against a job that runs although its caller was told that it would not.
-/// It happened when two copies of a request were forwarded by two daemons: one
+/// Guards against a job that runs although a refusal said that it would not. It
+/// happened when two copies of a request were forwarded by two daemons: one
 /// was refused, and the other arrived later, when jobs were accepted again.
 #[test]
 fn a_late_copy_of_a_refused_request_is_refused_too() {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -59,8 +59,7 @@
 const WORKER_POLL_MS: u64 = 200;
 const WORKER_LEASE_MS: u64 = 4_000;
 const CALLER_RETRY_MS: u64 = 300;
-/// Time in which a worker that is leaving may still get work that the owner
-/// decided on before it was informed.
+/// Time for which a worker may still start tasks after it begins to leave.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// A fault that is injected once.
@@ -289,6 +288,8 @@
             .insert((self.now_ms + delay_ms, self.next_delivery), delivery);
     }
 
+    /// Lets a node handle an event, after its pause if it is paused, and executes
+    /// the resulting actions.
     fn send_event(&mut self, node: usize, event: Event) {
         if !self.nodes[node].alive {
             return;
@@ -586,8 +587,8 @@
         for index in 0..self.callers.len() {
             let caller = &self.callers[index];
             let is_due = caller.last_request.is_none_or(|(token, sent_ms)| {
-                let retry_after_ms = if token == 0 { CALLER_RETRY_MS } else { 5_000 };
-                self.now_ms >= sent_ms + retry_after_ms
+                let retry_interval_ms = if token == 0 { CALLER_RETRY_MS } else { 5_000 };
+                self.now_ms >= sent_ms + retry_interval_ms
             });
             if caller.is_settled() || self.now_ms < caller.submit_at_ms || !is_due {
                 continue;
@@ -689,6 +690,8 @@
         }
     }
 
+    /// Returns the first worker of a caller's job, or any worker if the job is not
+    /// placed.
     fn worker_of(&self, caller: usize) -> String {
         let worker_of_job = self.callers[caller].job.and_then(|job| {
             let cell = self.cell()?;
@@ -699,7 +702,8 @@
     }
 
     /// Checks that each guarantee can be reclaimed: the accelerators pledged to it
-    /// are free, or used by the account itself or by reclaimable work.
+    /// are free, or used by the account itself, by reclaimable work or by jobs in
+    /// recovery.
     fn check_pledges(&mut self) {
         let Some(cell) = self.cell() else {
             return;
@@ -742,6 +746,8 @@
         self.check_runs();
     }
 
+    /// Checks the runs on the workers against the jobs' limits and outcomes, and
+    /// that no accelerator ran two tasks at once.
     fn check_runs(&mut self) {
         let mut attempts_by_job: HashMap<JobId, Vec<AttemptId>> = HashMap::new();
         let mut unfinished = Vec::new();
