--- a/src/daemon/answer.rs
+++ b/src/daemon/answer.rs
@@ -1,4 +1,7 @@
-//! Passing a job's answer on, whole or not at all.
+//! Streams a job's answer to the caller.
+//!
+//! An answer that does not match its recorded length and digest never reaches its
+//! full length at the caller.
 
 use crate::backend::HttpPlatform;
 use crate::core::AttemptId;
@@ -19,26 +22,27 @@
     Sha256, //
 };
 
-/// A worker that sends nothing for so long has gone away.
+/// A worker that sends no chunk for this long is treated as unreachable.
 const CHUNK_TIMEOUT_MS: u64 = 10_000;
 
-/// Why an answer cannot be passed on.
+/// Why an answer cannot be sent to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum AnswerError {
-    /// The worker that keeps it does not answer.
-    #[error("the worker that keeps the answer does not answer; ask again later")]
+    /// The worker that stores the answer does not respond.
+    #[error("the worker that stores the answer does not respond; ask again later")]
     Unreachable,
-    /// The answer is not the one that the job gave.
+    /// The answer does not match the length and digest recorded for the job.
     #[error("the answer does not match its length and digest; ask again later")]
     Mismatch,
 }
 
-/// The body of an answer. Short answers come from the ledger; long ones are
-/// streamed from their worker without being held whole.
+/// Returns the response body for an answer. Short answers come from the ledger; long
+/// ones are streamed from their worker without being buffered whole.
 ///
 /// # Errors
 ///
-/// The worker does not answer, or has another answer than the job gave.
+/// The worker does not respond, or an answer from the ledger does not match its
+/// record. A streamed answer that does not match fails in its stream.
 pub async fn body(
     platform: &HttpPlatform,
     timer: &Timer,
@@ -50,39 +54,40 @@
         let digest = Sha256::digest(&record.inline);
         return match digest.as_slice() == record.sha256.as_ref() {
             true => Ok(BoxBody::new(record.inline.clone())),
-            false => Err(mismatch()),
+            false => Err(count_mismatch()),
         };
     }
     let address = address.ok_or(AnswerError::Unreachable)?;
     let response = platform.answer(address, attempt).await;
     let chunks = response.ok_or(AnswerError::Unreachable)?;
-    let checked = checked(chunks, timer.clone(), record.clone());
+    let verified = verify_stream(chunks, timer.clone(), record.clone());
     Ok(BoxBody::new(SizedStream::new(
         record.size_bytes,
-        Box::pin(checked),
+        Box::pin(verified),
     )))
 }
 
-fn mismatch() -> AnswerError {
+fn count_mismatch() -> AnswerError {
     metrics::counter!("fuchsiaslip_answers_dropped_total", "reason" => "mismatch").increment(1);
     AnswerError::Mismatch
 }
 
-struct Checking<S> {
+struct VerifiedStream<S> {
     chunks: S,
     timer: Timer,
     record: AnswerRecord,
     hasher: Sha256,
-    seen_bytes: u64,
-    /// The chunk that is passed on only once the next one or the end is seen.
-    held: Option<Bytes>,
+    received_bytes: u64,
+    /// The last chunk received. It is passed on once another chunk arrives or the
+    /// complete answer is verified.
+    pending_chunk: Option<Bytes>,
     done: bool,
 }
 
-/// Passes chunks on and holds the last one back until length and digest are
-/// right. A wrong or cut answer thus never reaches its full length: the
-/// connection is cut and the caller knows that it has not the whole.
-fn checked<S, E>(
+/// Passes chunks on, but keeps the last one back until length and digest are
+/// verified. A wrong or truncated answer thus never reaches its full length: the
+/// connection is closed early and the caller detects that the answer is incomplete.
+fn verify_stream<S, E>(
     chunks: S,
     timer: Timer,
     record: AnswerRecord,
@@ -90,13 +95,13 @@
 where
     S: Stream<Item = Result<Bytes, E>> + Unpin,
 {
-    let start = Checking {
+    let start = VerifiedStream {
         chunks,
         timer,
         record,
         hasher: Sha256::new(),
-        seen_bytes: 0,
-        held: None,
+        received_bytes: 0,
+        pending_chunk: None,
         done: false,
     };
     stream::unfold(start, |mut state| async move {
@@ -105,7 +110,7 @@
     })
 }
 
-impl<S, E> Checking<S>
+impl<S, E> VerifiedStream<S>
 where
     S: Stream<Item = Result<Bytes, E>> + Unpin,
 {
@@ -118,8 +123,8 @@
             match chunk {
                 Ok(Some(Ok(chunk))) => {
                     self.hasher.update(&chunk);
-                    self.seen_bytes += chunk.len() as u64;
-                    if let Some(earlier) = self.held.replace(chunk) {
+                    self.received_bytes += chunk.len() as u64;
+                    if let Some(earlier) = self.pending_chunk.replace(chunk) {
                         return Some(Ok(earlier));
                     }
                 }
@@ -136,11 +141,11 @@
     fn finish(&mut self) -> Option<Result<Bytes, AnswerError>> {
         self.done = true;
         let digest = std::mem::take(&mut self.hasher).finalize();
-        let whole = self.seen_bytes == self.record.size_bytes
+        let is_verified = self.received_bytes == self.record.size_bytes
             && digest.as_slice() == self.record.sha256.as_ref();
-        match whole {
-            true => self.held.take().map(Ok),
-            false => Some(Err(mismatch())),
+        match is_verified {
+            true => self.pending_chunk.take().map(Ok),
+            false => Some(Err(count_mismatch())),
         }
     }
 }
--- a/src/daemon/configuration.rs
+++ b/src/daemon/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as it is stored, and putting a version in force.
+//! Encodes and decodes the stored configuration and puts versions in force.
 
 use super::control::Control;
 use super::status::Status;
@@ -14,18 +14,19 @@
 /// Key of the configuration in the store.
 pub const CONFIGURATION_KEY: &str = "configuration/current";
 
-/// The stored form of a configuration.
+/// Encodes a configuration for the store.
 pub fn encode(configuration: &Configuration) -> Bytes {
     ledger::seal(&serde_json::to_vec(configuration).unwrap_or_default())
 }
 
-/// Reads the stored form.
+/// Decodes a stored configuration; returns `None` if the value is damaged.
 pub fn decode(value: &Bytes) -> Option<Configuration> {
     let content = ledger::open(value.clone()).ok()?;
     serde_json::from_slice(&content).ok()
 }
 
-/// Puts a version in force on this daemon, if it is newer.
+/// Puts a version in force on this daemon and passes it to the control thread, if it
+/// is newer than the version in force.
 pub async fn put_in_force(status: &Status, control: &Control, configuration: Configuration) {
     let configuration = Arc::new(configuration);
     if status.put_in_force(configuration.clone()) {
@@ -33,6 +34,8 @@
             events::CONFIGURATION_IN_FORCE,
             format_args!("version {}", configuration.version),
         );
-        control.event(Event::Configuration(configuration)).await;
+        control
+            .send_event(Event::Configuration(configuration))
+            .await;
     }
 }
--- a/src/daemon/control.rs
+++ b/src/daemon/control.rs
@@ -1,6 +1,9 @@
-//! The control thread: the only one that touches the owner's state.
+//! The control thread, the only thread that accesses the owner's state.
+//!
+//! Other threads send it requests and events. It sends the resulting actions to the
+//! traffic thread.
 
-use super::kill::Killed;
+use super::kill::ShutdownReceiver;
 use super::status::Status;
 use crate::core::{
     Refusal,
@@ -21,23 +24,25 @@
     oneshot, //
 };
 
-/// Messages that may wait for the control thread before callers are refused.
+/// Messages that may wait for the control thread. While the queue is full, requests
+/// are refused and senders of events wait.
 const QUEUE_LENGTH: usize = 8_192;
+/// Interval of the owner's ticks.
 const TICK_MS: u64 = 100;
-/// How often the cell is measured for the gauges.
-const MEASURE_MS: u64 = 5_000;
+/// Interval at which the gauges of the cell are updated.
+const GAUGE_INTERVAL_MS: u64 = 5_000;
 const PERCENT: f64 = 100.0;
 const OVERLOADED_RETRY_AFTER_MS: u64 = 1_000;
 
 /// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// A request and where its reply goes.
+    /// A request and the channel for its reply.
     Request(Request, oneshot::Sender<Reply>),
     /// An event.
     Event(Event),
-    /// An event whose sender wants to know that it was taken in, and whether
-    /// by an owner.
+    /// An event whose sender waits until it is handled. The channel then receives
+    /// whether this daemon is the owner.
     Acknowledged(Event, oneshot::Sender<bool>),
 }
 
@@ -48,17 +53,17 @@
 }
 
 impl Control {
-    /// Starts the thread. Actions go to `actions`.
+    /// Starts the thread, which sends actions to `actions`.
     ///
     /// # Errors
     ///
-    /// The thread could not be started.
+    /// The thread cannot be started.
     pub fn spawn(
         owner: Owner,
         timer: Timer,
         status: Arc<Status>,
         actions: mpsc::UnboundedSender<Action>,
-        killed: Killed,
+        shutdown: ShutdownReceiver,
     ) -> std::io::Result<Self> {
         let (sender, messages) = mpsc::channel(QUEUE_LENGTH);
         std::thread::Builder::new()
@@ -71,34 +76,34 @@
                     actions,
                     replies: HashMap::new(),
                     next_token: 0,
-                    next_measure_ms: 0,
+                    next_gauges_ms: 0,
                 };
-                actix_rt::System::new().block_on(killed.or(thread.run(messages)));
+                actix_rt::System::new().block_on(shutdown.run_until(thread.run(messages)));
             })?;
         Ok(Self { sender })
     }
 
     /// Sends an event; waits while the queue is full.
-    pub async fn event(&self, event: Event) {
-        // The thread ends only with the process.
+    pub async fn send_event(&self, event: Event) {
+        // The control thread ends only when the daemon stops.
         let _ = self.sender.send(ControlMessage::Event(event)).await;
     }
 
-    /// Sends an event and waits until it was taken in; says whether this
-    /// daemon was the owner then.
-    pub async fn acknowledged(&self, event: Event) -> bool {
-        let (taken, wait) = oneshot::channel();
-        let message = ControlMessage::Acknowledged(event, taken);
+    /// Sends an event, waits until it is handled and returns whether this daemon was
+    /// the owner then.
+    pub async fn send_event_acknowledged(&self, event: Event) -> bool {
+        let (acknowledgement, receiver) = oneshot::channel();
+        let message = ControlMessage::Acknowledged(event, acknowledgement);
         if self.sender.send(message).await.is_err() {
             return false;
         }
-        wait.await.unwrap_or(false)
+        receiver.await.unwrap_or(false)
     }
 
-    /// Sends a request and waits for its reply. A full queue refuses at once
-    /// rather than letting callers pile up.
+    /// Sends a request and waits for its reply. If the queue is full, the request is
+    /// refused at once so that callers do not accumulate.
     pub async fn request(&self, request: Request) -> Reply {
-        let (reply, wait) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         let message = ControlMessage::Request(request, reply);
         if self.sender.try_send(message).is_err() {
             let reason = RefusalReason::Overloaded;
@@ -109,7 +114,7 @@
                 retry_after_ms: OVERLOADED_RETRY_AFTER_MS,
             });
         }
-        wait.await.unwrap_or(Reply::OutcomeUnknown)
+        receiver.await.unwrap_or(Reply::OutcomeUnknown)
     }
 }
 
@@ -120,7 +125,7 @@
     actions: mpsc::UnboundedSender<Action>,
     replies: HashMap<u64, oneshot::Sender<Reply>>,
     next_token: u64,
-    next_measure_ms: u64,
+    next_gauges_ms: u64,
 }
 
 impl ControlThread {
@@ -129,56 +134,56 @@
         loop {
             tokio::select! {
                 message = messages.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 now_ms = ticks.next() => {
-                    self.handle(Event::Tick, now_ms);
-                    self.measure(now_ms);
+                    self.handle_event(Event::Tick, now_ms);
+                    self.update_gauges(now_ms);
                 }
             }
         }
     }
 
-    fn measure(&mut self, now_ms: u64) {
-        let Some(cell) = self.owner.cell().filter(|_| now_ms >= self.next_measure_ms) else {
+    fn update_gauges(&mut self, now_ms: u64) {
+        let Some(cell) = self.owner.cell().filter(|_| now_ms >= self.next_gauges_ms) else {
             return;
         };
-        self.next_measure_ms = now_ms + MEASURE_MS;
+        self.next_gauges_ms = now_ms + GAUGE_INTERVAL_MS;
         let percent = PERCENT * cell.fragmentation();
         metrics::gauge!("fuchsiaslip_fragmentation_percent").set(percent);
         metrics::gauge!("fuchsiaslip_waiting_jobs").set(cell.waiting() as f64);
     }
 
-    fn take(&mut self, message: ControlMessage) {
+    fn handle_message(&mut self, message: ControlMessage) {
         let now_ms = self.timer.now_ms();
         match message {
-            ControlMessage::Event(event) => self.handle(event, now_ms),
-            ControlMessage::Acknowledged(event, taken) => {
-                self.handle(event, now_ms);
-                // Whoever asked may have given up waiting.
-                let _ = taken.send(self.owner.is_owner());
+            ControlMessage::Event(event) => self.handle_event(event, now_ms),
+            ControlMessage::Acknowledged(event, acknowledgement) => {
+                self.handle_event(event, now_ms);
+                // The sender may have stopped waiting.
+                let _ = acknowledgement.send(self.owner.is_owner());
             }
             ControlMessage::Request(request, reply) => {
                 self.next_token += 1;
                 self.replies.insert(self.next_token, reply);
                 let token = self.next_token;
-                self.handle(Event::Request { token, request }, now_ms);
+                self.handle_event(Event::Request { token, request }, now_ms);
             }
         }
     }
 
-    fn handle(&mut self, event: Event, now_ms: u64) {
+    fn handle_event(&mut self, event: Event, now_ms: u64) {
         for action in self.owner.handle(event, now_ms) {
             match action {
                 Action::Reply { token, reply } => {
-                    if let Some(waiting) = self.replies.remove(&token) {
-                        // A caller that has gone away needs no reply.
-                        let _ = waiting.send(reply);
+                    if let Some(sender) = self.replies.remove(&token) {
+                        // The caller may have stopped waiting.
+                        let _ = sender.send(reply);
                     }
                 }
                 other => {
-                    // The traffic thread ends only with the process.
+                    // The traffic thread ends only when the daemon stops.
                     let _ = self.actions.send(other);
                 }
             }
--- a/src/daemon/directory.rs
+++ b/src/daemon/directory.rs
@@ -1,4 +1,5 @@
-//! Which daemons live, who owns the data centre, and who keeps which worker.
+//! Tracks which daemons are alive, which of them owns the data centre and which one
+//! monitors each worker.
 
 use crate::backend::{
     VmKind,
@@ -13,27 +14,28 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A peer that was not heard for so long is not counted on.
-const ALIVE_MS: u64 = 3_500;
-/// An owner that was not heard for so long may have lost its lease.
-const OWNER_ALIVE_MS: u64 = 1_500;
+/// A peer whose last heartbeat is older than this is treated as down.
+const PEER_TIMEOUT_MS: u64 = 3_500;
+/// An owner whose last heartbeat is older than this may have lost its lease.
+const OWNER_TIMEOUT_MS: u64 = 1_500;
 
 #[derive(Clone, Debug)]
-struct Heard {
-    at_ms: u64,
+struct ReceivedHeartbeat {
+    received_ms: u64,
     heartbeat: Heartbeat,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// VMs of the own data centre.
+    /// VMs of this daemon's data centre.
     members: Vec<VmRecord>,
-    /// Daemons of every data centre.
+    /// Daemons of all data centres.
     daemons: Vec<VmRecord>,
-    heard: HashMap<String, Heard>,
+    /// The latest heartbeat of each peer, by the peer's name.
+    heartbeats: HashMap<String, ReceivedHeartbeat>,
 }
 
-/// The daemon's view of the others.
+/// What this daemon knows of other daemons and of the VMs of its data centre.
 #[derive(Debug)]
 pub struct Directory {
     daemon: String,
@@ -41,23 +43,26 @@
     state: Mutex<State>,
 }
 
+/// Returns the weight of a pair of names for rendezvous hashing.
 fn weight(a: &str, b: &str) -> u64 {
     xxh3_64(format!("{a}\0{b}").as_bytes())
 }
 
-/// The data centre that holds the job of an account's idempotency key: the one
-/// of the account's data centres with the greatest hash.
+/// Returns the data centre that stores the job of an account's idempotency key.
+/// Rendezvous hashing selects one of the account's data centres.
 pub fn home_data_centre<'a>(
     data_centres: &'a [String],
     account: &str,
     key: &str,
 ) -> Option<&'a String> {
     let name = format!("{account}\0{key}");
-    data_centres.iter().max_by_key(|at| weight(at, &name))
+    data_centres
+        .iter()
+        .max_by_key(|data_centre| weight(data_centre, &name))
 }
 
 impl Directory {
-    /// An empty directory of `daemon` in `data_centre`.
+    /// Creates the empty directory of `daemon` in `data_centre`.
     pub fn new(daemon: &str, data_centre: &str) -> Self {
         Self {
             daemon: daemon.to_owned(),
@@ -70,27 +75,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in the platform's list of the own data centre.
+    /// Replaces the VMs of this daemon's data centre by the platform's list.
     pub fn set_members(&self, members: Vec<VmRecord>) {
         self.state().members = members;
     }
 
-    /// Takes in the platform's list of daemons everywhere.
+    /// Replaces the daemons of all data centres by the platform's list.
     pub fn set_daemons(&self, daemons: Vec<VmRecord>) {
         self.state().daemons = daemons;
     }
 
-    /// Takes in a peer's sign of life.
-    pub fn heard(&self, heartbeat: Heartbeat, now_ms: u64) {
+    /// Records a peer's heartbeat.
+    pub fn record_heartbeat(&self, heartbeat: Heartbeat, now_ms: u64) {
         let name = heartbeat.daemon.clone();
-        let heard = Heard {
-            at_ms: now_ms,
+        let received = ReceivedHeartbeat {
+            received_ms: now_ms,
             heartbeat,
         };
-        self.state().heard.insert(name, heard);
+        self.state().heartbeats.insert(name, received);
     }
 
-    /// Peers of the same data centre that the list names.
+    /// Returns the other daemons of this data centre that the platform lists.
     pub fn peers(&self) -> Vec<VmRecord> {
         let state = self.state();
         let members = state.members.iter();
@@ -101,40 +106,48 @@
             .collect()
     }
 
-    /// The owner's latest sign of life, with its address.
+    /// Returns the owner's peer address, its latest heartbeat and when that was
+    /// received, in ms; `None` if no owner has sent a heartbeat recently.
     pub fn owner(&self, now_ms: u64) -> Option<(String, Heartbeat, u64)> {
         let state = self.state();
-        let heard = state
-            .heard
+        let received = state
+            .heartbeats
             .values()
-            .filter(|heard| heard.heartbeat.owner_epoch > 0)
-            .filter(|heard| heard.at_ms + OWNER_ALIVE_MS > now_ms)
-            .max_by_key(|heard| heard.heartbeat.owner_epoch)?;
-        let name = &heard.heartbeat.daemon;
+            .filter(|received| received.heartbeat.owner_epoch > 0)
+            .filter(|received| received.received_ms + OWNER_TIMEOUT_MS > now_ms)
+            .max_by_key(|received| received.heartbeat.owner_epoch)?;
+        let name = &received.heartbeat.daemon;
         let vm = state.members.iter().find(|vm| vm.name == *name)?;
-        Some((vm.address.clone(), heard.heartbeat.clone(), heard.at_ms))
+        Some((
+            vm.address.clone(),
+            received.heartbeat.clone(),
+            received.received_ms,
+        ))
     }
 
-    /// Some daemon of another data centre; `turn` varies which.
+    /// Returns the peer address of one daemon of another data centre. Successive
+    /// values of `turn` select the daemons in rotation.
     pub fn daemon_in(&self, data_centre: &str, turn: usize) -> Option<String> {
         let state = self.state();
         let daemons = state.daemons.iter();
-        let there: Vec<&VmRecord> = daemons
+        let candidates: Vec<&VmRecord> = daemons
             .filter(|vm| vm.kind == VmKind::Daemon && vm.data_centre == data_centre)
             .filter(|vm| !vm.leaving)
             .collect();
-        let chosen = there.get(turn % there.len().max(1))?;
+        let chosen = candidates.get(turn % candidates.len().max(1))?;
         Some(chosen.address.clone())
     }
 
-    /// Daemons of the data centre that share its workers, this one included
-    /// unless it drains.
+    /// Returns the daemons that share the workers of the data centre. This daemon is
+    /// one of them unless it drains while another one is left.
     fn monitors(&self, now_ms: u64, draining: bool) -> Vec<String> {
         let state = self.state();
-        let alive = state.heard.values();
-        let mut monitors: Vec<String> = alive
-            .filter(|heard| heard.at_ms + ALIVE_MS > now_ms && !heard.heartbeat.draining)
-            .map(|heard| heard.heartbeat.daemon.clone())
+        let heartbeats = state.heartbeats.values();
+        let mut monitors: Vec<String> = heartbeats
+            .filter(|received| {
+                received.received_ms + PEER_TIMEOUT_MS > now_ms && !received.heartbeat.draining
+            })
+            .map(|received| received.heartbeat.daemon.clone())
             .collect();
         if !draining || monitors.is_empty() {
             monitors.push(self.daemon.clone());
@@ -142,11 +155,11 @@
         monitors
     }
 
-    /// Workers that this daemon keeps: those for which its hash is greatest,
-    /// so that a daemon that comes or goes moves only its own share.
-    pub fn kept_workers(&self, now_ms: u64, draining: bool) -> Vec<VmRecord> {
+    /// Returns the workers that this daemon monitors: those for which its weight is the
+    /// greatest, so that a daemon that joins or leaves moves only its own share.
+    pub fn monitored_workers(&self, now_ms: u64, draining: bool) -> Vec<VmRecord> {
         let monitors = self.monitors(now_ms, draining);
-        let is_kept = |vm: &&VmRecord| {
+        let is_monitored = |vm: &&VmRecord| {
             let best = monitors.iter().max_by_key(|name| weight(name, &vm.name));
             best.is_some_and(|best| *best == self.daemon)
         };
@@ -154,13 +167,14 @@
         let workers = state.members.iter();
         workers
             .filter(|vm| vm.kind == VmKind::Worker && vm.data_centre == self.data_centre)
-            .filter(is_kept)
+            .filter(is_monitored)
             .cloned()
             .collect()
     }
 
-    /// This daemon's place among those that could become owner next; the ones
-    /// behind wait longer, so that the store is not stormed.
+    /// Returns the number of daemons that try to become owner before this one. Each
+    /// waits longer than the one before it, so that they do not overload the store by
+    /// trying at once.
     pub fn rank(&self, now_ms: u64) -> u64 {
         let own = weight(&self.daemon, &self.data_centre);
         let others = self.monitors(now_ms, true);
--- a/src/daemon/entry/body.rs
+++ b/src/daemon/entry/body.rs
@@ -1,4 +1,4 @@
-//! Reading requests and writing responses.
+//! Reads requests and writes responses.
 
 use super::ApiError;
 use crate::core::{
@@ -23,27 +23,27 @@
     Serialize, //
 };
 
-/// What a caller submits, in JSON.
+/// The JSON body of a submission.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitBody {
-    /// Class of work.
+    /// Class of the job.
     pub class: String,
     /// Accelerators on each worker.
     pub accelerators_per_worker: u16,
-    /// Workers of the gang.
+    /// Number of workers in the gang.
     #[serde(default = "one")]
     pub workers: u16,
-    /// How close the workers have to be.
+    /// How close to each other the workers have to be.
     #[serde(default)]
     pub adjacency: Adjacency,
-    /// Whether the job may be started again after it may have begun; if not
-    /// said, it runs at most once.
+    /// Whether the job may be started again when it may already have begun. By default
+    /// it runs at most once.
     #[serde(default)]
     pub idempotent: bool,
-    /// The caller's estimate of the run time.
+    /// The caller's estimate of the run time, in ms.
     pub declared_run_ms: u64,
-    /// What the task is given.
+    /// Payload that is passed to the task.
     #[serde(default)]
     pub payload: String,
 }
@@ -53,7 +53,7 @@
 }
 
 impl SubmitBody {
-    /// The submission of `account` under `key`.
+    /// Converts the body to the submission of `account` under `key`.
     pub fn submission(self, account: &str, key: &str) -> Submission {
         let mut submission = Submission {
             account: account.to_owned(),
@@ -73,11 +73,11 @@
     }
 }
 
-/// Options in a query.
+/// Query parameters of requests that can wait for a job's end.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WaitQuery {
-    /// How long to wait for the job's end.
+    /// How long to wait for the job's end, in ms.
     pub wait_ms: u64,
 }
 
@@ -99,11 +99,11 @@
     Ok(body.freeze())
 }
 
-/// Reads a body in JSON.
+/// Reads and decodes a JSON body.
 ///
 /// # Errors
 ///
-/// The body is too long, ended early, or is not what is expected.
+/// The body is too long, ended early, or is not a valid `T`.
 pub async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
     limit_bytes: usize,
@@ -114,11 +114,11 @@
     })
 }
 
-/// Reads the query.
+/// Parses the query string.
 ///
 /// # Errors
 ///
-/// A value is not what is expected.
+/// The query string is not a valid `T`.
 pub fn query<T: DeserializeOwned>(request: &Request) -> Result<T, ApiError> {
     let text = request.uri().query().unwrap_or_default();
     serde_urlencoded::from_str(text).map_err(|error| ApiError::BadBody {
@@ -126,7 +126,7 @@
     })
 }
 
-/// A response in JSON.
+/// Creates a response with a JSON body.
 pub fn json(status: StatusCode, body: &impl Serialize) -> Response<BoxBody> {
     Response::build(status)
         .content_type("application/json")
--- a/src/daemon/entry/error.rs
+++ b/src/daemon/entry/error.rs
@@ -1,4 +1,4 @@
-//! What callers are told when a request is not served.
+//! Error responses of the HTTP API.
 
 use super::super::answer::AnswerError;
 use crate::core::{
@@ -15,10 +15,10 @@
 const OVERLOADED_RETRY_AFTER_MS: u64 = 1_000;
 const MS_PER_SECOND: u64 = 1_000;
 
-/// Why a request is not served; the message names the remedy.
+/// Why a request failed. The message names the remedy.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ApiError {
-    /// The token belongs to nobody.
+    /// The bearer token is missing or unknown.
     #[error("the bearer token is missing or belongs to nobody; ask an operator for one")]
     UnknownToken,
     /// An operator's token at a caller's endpoint.
@@ -30,7 +30,7 @@
     /// The path does not exist.
     #[error("there is no such path; see docs/API.md")]
     NoSuchPath,
-    /// The path does not take the method.
+    /// The path does not support the method.
     #[error("the path does not take this method; see docs/API.md")]
     NoSuchMethod,
     /// The body ended early or the connection broke.
@@ -39,32 +39,32 @@
     /// The body is too long.
     #[error("the body is longer than {limit_bytes} bytes; send less")]
     OversizedBody {
-        /// The longest body taken.
+        /// Maximum length of the body.
         limit_bytes: usize,
     },
-    /// The body cannot be read.
+    /// The body or the query string cannot be decoded.
     #[error("the body cannot be read: {detail}")]
     BadBody {
         /// Where and why.
         detail: String,
     },
-    /// The submission lacks its key.
+    /// The submission has no valid idempotency key.
     #[error("the Idempotency-Key header is missing or too long; send 1 to 128 characters")]
     NoKey,
-    /// The job is not known, or is another account's.
+    /// The job does not exist or belongs to another account.
     #[error("there is no such job of this account; check its name")]
     NoSuchJob,
     /// The job has not ended.
     #[error("the job has not ended; ask again, or with wait_ms")]
     NotEnded,
-    /// The request was not accepted; only if the refusal says so, the job did
-    /// not run and will not run.
+    /// The request was not accepted. Only if the refusal has `not_run` set is it certain
+    /// that the job did not run and will not run.
     #[error("{}", .0.reason.remedy())]
     Refused(Refusal),
-    /// Whether the request took effect is not known.
+    /// It is not known whether the request took effect.
     #[error("whether the request took effect is not known; send it again with the same key")]
     OutcomeUnknown,
-    /// The answer cannot be passed on now.
+    /// The job's answer cannot be sent now.
     #[error(transparent)]
     Answer(#[from] AnswerError),
     /// A patch is refused.
@@ -82,7 +82,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The refusal of an entry that has too much to do.
+/// Counts and returns the refusal of an overloaded daemon.
 pub fn overloaded() -> Refusal {
     let reason = RefusalReason::Overloaded;
     metrics::counter!("fuchsiaslip_refusals_total", "reason" => reason.name()).increment(1);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The response that carries the error.
+    /// Counts the error and returns its response.
     pub fn response(&self) -> Response<BoxBody> {
         let name = self.name();
         metrics::counter!("fuchsiaslip_http_errors_total", "error" => name).increment(1);
--- a/src/daemon/entry/jobs.rs
+++ b/src/daemon/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! Endpoints of callers: submit, status, answer, cancel.
+//! Endpoints for callers: submit, status, answer, cancel.
 
 use super::super::answer;
 use super::super::auth::Caller;
@@ -9,8 +9,8 @@
     WaitQuery, //
 };
 use super::{
-    ApiError,
-    Entry, //
+    Api,
+    ApiError, //
 };
 use crate::core::{
     AttemptId,
@@ -41,12 +41,15 @@
 use std::collections::BTreeMap;
 
 const MAX_KEY_LENGTH: usize = 128;
-/// JSON around a payload, escapes included, is at most this much longer.
+/// The JSON body of a submission may be longer than the maximum payload by this factor,
+/// for escapes, and by `BODY_EXTRA_BYTES`, for the other fields.
 const BODY_FACTOR: usize = 2;
 const BODY_EXTRA_BYTES: usize = 4 << 10;
 const MAX_CANCEL_BODY_BYTES: usize = 1 << 20;
 const MAX_WAIT_MS: u64 = 10 * 60_000;
-const DRAIN_CHECK_MS: u64 = 200;
+/// Interval at which a waiting request checks for a drain and, while the ownership
+/// changes, retries.
+const WAIT_CHECK_INTERVAL_MS: u64 = 200;
 const NO_OWNER_RETRY_AFTER_MS: u64 = 2_000;
 
 #[derive(Serialize)]
@@ -66,7 +69,7 @@
     cancelled: u32,
 }
 
-impl Entry {
+impl Api {
     pub(super) async fn submit(
         &self,
         request: &mut HttpRequest,
@@ -90,8 +93,8 @@
         let job = match reply {
             Reply::Accepted(job) => job,
             Reply::Refused(refusal) => return Err(ApiError::Refused(refusal)),
-            // No owner saw this request; one may have seen an earlier one with
-            // the same key.
+            // No owner received this request, but one may have received an earlier
+            // request with the same key.
             Reply::NotOwner => return Err(ApiError::Refused(no_owner())),
             _ => return Err(ApiError::OutcomeUnknown),
         };
@@ -100,7 +103,7 @@
             return Ok(accepted(name));
         }
         match self.wait(&data_centre, job, wait.wait_ms).await? {
-            Some(ended) => self.ended(job, ended).await,
+            Some(ended) => self.ended_response(job, ended).await,
             None => Ok(accepted(name)),
         }
     }
@@ -114,8 +117,8 @@
             .ok_or(ApiError::UnknownToken)
     }
 
-    /// Waits for the job's end. While the daemon drains no wait is held: the
-    /// caller is told where its job stands and asks another daemon.
+    /// Waits for the job's end, for at most `wait_ms`. Returns `None` on a timeout and
+    /// while the daemon drains, so that the caller can ask another daemon.
     async fn wait(
         &self,
         data_centre: &str,
@@ -125,31 +128,37 @@
         let timer = &self.shared.timer;
         let until_ms = timer.now_ms() + wait_ms.min(MAX_WAIT_MS);
         while timer.now_ms() < until_ms && !self.shared.status.is_draining() {
-            let left_ms = until_ms - timer.now_ms();
+            let remaining_ms = until_ms - timer.now_ms();
             let reply = tokio::select! {
                 reply = self.route(data_centre, Request::Wait(job)) => reply,
-                _ = timer.sleep(left_ms) => return Ok(None),
-                () = self.drained() => return Ok(None),
+                _ = timer.sleep(remaining_ms) => return Ok(None),
+                () = self.drain_started() => return Ok(None),
             };
             match reply {
                 Reply::Ended(ended) => return Ok(Some(ended)),
                 Reply::NotFound => return Err(ApiError::NoSuchJob),
-                // The ownership changes; the job is where it was.
+                // The ownership is changing, which does not affect the job.
                 _ => {
-                    timer.sleep(DRAIN_CHECK_MS).await;
+                    timer.sleep(WAIT_CHECK_INTERVAL_MS).await;
                 }
             }
         }
         Ok(None)
     }
 
-    async fn drained(&self) {
+    /// Waits until the daemon starts to drain.
+    async fn drain_started(&self) {
         while !self.shared.status.is_draining() {
-            self.shared.timer.sleep(DRAIN_CHECK_MS).await;
+            self.shared.timer.sleep(WAIT_CHECK_INTERVAL_MS).await;
         }
     }
 
-    async fn ended(&self, job: JobId, ended: Box<Ended>) -> Result<Response<BoxBody>, ApiError> {
+    /// Returns the response for an ended job: its answer if there is one, else its report.
+    async fn ended_response(
+        &self,
+        job: JobId,
+        ended: Box<Ended>,
+    ) -> Result<Response<BoxBody>, ApiError> {
         let Some(record) = ended.answer.as_ref() else {
             let status = outcome_status(&ended.report.outcome);
             return Ok(body::json(status, &ended.report));
@@ -181,8 +190,8 @@
         Ok(body::json(StatusCode::OK, &report))
     }
 
-    /// The report of a job that the caller may see. Another account's job
-    /// looks like one that does not exist.
+    /// Returns the report of a job if the caller may see it. A job of another account is
+    /// treated as one that does not exist.
     async fn report(&self, caller: &Caller, name: &str) -> Result<JobReport, ApiError> {
         let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
         let report = match self.route(data_centre, Request::Explain(job)).await {
@@ -206,13 +215,13 @@
         let wait: WaitQuery = body::query(request)?;
         let report = self.report(&caller, name).await?;
         let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
-        let over = report.outcome != OutcomeCode::None.name();
-        if !over && wait.wait_ms == 0 {
+        let has_ended = report.outcome != OutcomeCode::None.name();
+        if !has_ended && wait.wait_ms == 0 {
             return Err(ApiError::NotEnded);
         }
         let wait_ms = wait.wait_ms.max(NO_OWNER_RETRY_AFTER_MS);
         match self.wait(data_centre, job, wait_ms).await? {
-            Some(ended) => self.ended(job, ended).await,
+            Some(ended) => self.ended_response(job, ended).await,
             None => Ok(accepted(name.to_owned())),
         }
     }
@@ -223,13 +232,13 @@
         names: &[&str],
     ) -> Result<Response<BoxBody>, ApiError> {
         let account = self.account(request)?;
-        let mut by_place: BTreeMap<&str, Vec<JobId>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<&str, Vec<JobId>> = BTreeMap::new();
         for name in names {
             let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
-            by_place.entry(data_centre).or_default().push(job);
+            by_data_centre.entry(data_centre).or_default().push(job);
         }
         let mut cancelled = 0;
-        for (data_centre, jobs) in by_place {
+        for (data_centre, jobs) in by_data_centre {
             let account = account.clone();
             let request = Request::Cancel { account, jobs };
             match self.route(data_centre, request).await {
--- a/src/daemon/entry/mod.rs
+++ b/src/daemon/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP face for callers and operators.
+//! The HTTP API for callers and operators.
 
 mod body;
 mod error;
@@ -40,43 +40,43 @@
     oneshot, //
 };
 
-/// Something that an HTTP thread asks the traffic thread to do.
-pub enum EntryCommand {
-    /// Carry a request to the owner of a data centre.
+/// A command of an HTTP thread to the traffic thread.
+pub enum ApiCommand {
+    /// Send a request to the owner of a data centre.
     Route(String, Request, oneshot::Sender<Reply>),
-    /// Submit a patch as this operator.
+    /// Submit a patch in the name of an operator.
     Patch(Box<Patch>, String, oneshot::Sender<PatchOutcome>),
-    /// Say what a patch would change.
+    /// List what a patch would change.
     Plan(
         Box<Patch>,
         oneshot::Sender<Result<Vec<String>, Vec<PatchProblem>>>,
     ),
 }
 
-/// What every HTTP thread shares.
+/// State that all HTTP threads share.
 #[derive(Clone)]
 pub struct Shared {
     /// The daemon's settings.
     pub settings: Arc<Settings>,
-    /// Facts that the threads share.
+    /// State that all threads of the daemon share.
     pub status: Arc<Status>,
     /// The timer service.
     pub timer: Timer,
-    /// The way to the traffic thread.
-    pub commands: mpsc::Sender<EntryCommand>,
+    /// Channel to the traffic thread.
+    pub commands: mpsc::Sender<ApiCommand>,
     /// The metrics of the process.
     pub metrics: PrometheusHandle,
 }
 
-/// The HTTP face on one thread.
+/// The HTTP API on one thread.
 #[derive(Clone)]
-pub struct Entry {
+pub struct Api {
     shared: Shared,
     platform: HttpPlatform,
 }
 
-impl Entry {
-    /// The face on the calling thread.
+impl Api {
+    /// Creates the API of the calling thread.
     pub fn open(shared: Shared) -> Self {
         let address = shared.settings.platform_address.to_string();
         let platform = HttpPlatform::open(&address, shared.timer.clone());
@@ -169,10 +169,10 @@
     }
 
     async fn route(&self, data_centre: &str, request: Request) -> Reply {
-        let (reply, wait) = oneshot::channel();
-        let command = EntryCommand::Route(data_centre.to_owned(), request, reply);
+        let (reply, receiver) = oneshot::channel();
+        let command = ApiCommand::Route(data_centre.to_owned(), request, reply);
         match self.shared.commands.try_send(command) {
-            Ok(()) => wait.await.unwrap_or(Reply::OutcomeUnknown),
+            Ok(()) => receiver.await.unwrap_or(Reply::OutcomeUnknown),
             Err(_) => Reply::Refused(error::overloaded()),
         }
     }
--- a/src/daemon/entry/operate.rs
+++ b/src/daemon/entry/operate.rs
@@ -1,11 +1,11 @@
-//! Endpoints of operators: configuration, accounts, workers, drain.
+//! Endpoints for operators: configuration, accounts, workers, drain.
 
 use super::super::patch::PatchOutcome;
 use super::body;
 use super::{
+    Api,
+    ApiCommand,
     ApiError,
-    Entry,
-    EntryCommand,
     error, //
 };
 use crate::config::{
@@ -54,11 +54,11 @@
     workers: Vec<WorkerReport>,
 }
 
-fn reasons(problems: &[PatchProblem]) -> ApiError {
+fn patch_refused(problems: &[PatchProblem]) -> ApiError {
     ApiError::PatchRefused(problems.iter().map(ToString::to_string).collect())
 }
 
-impl Entry {
+impl Api {
     pub(super) fn configuration(
         &self,
         request: &HttpRequest,
@@ -85,9 +85,9 @@
         self.operator(request)?;
         let patch = Self::read_patch(request).await?;
         let base_version = patch.base_version;
-        let (reply, wait) = oneshot::channel();
-        self.command(EntryCommand::Plan(Box::new(patch), reply))?;
-        match wait.await {
+        let (reply, receiver) = oneshot::channel();
+        self.send_command(ApiCommand::Plan(Box::new(patch), reply))?;
+        match receiver.await {
             Ok(Ok(changes)) => {
                 let body = PlanBody {
                     base_version,
@@ -96,7 +96,7 @@
                 Ok(body::json(StatusCode::OK, &body))
             }
             Ok(Err(problems)) if problems.is_empty() => Err(ApiError::OutcomeUnknown),
-            Ok(Err(problems)) => Err(reasons(&problems)),
+            Ok(Err(problems)) => Err(patch_refused(&problems)),
             Err(_) => Err(ApiError::OutcomeUnknown),
         }
     }
@@ -108,20 +108,20 @@
         let operator = self.operator(request)?;
         let patch = Self::read_patch(request).await?;
         let id = patch.id.clone();
-        let (reply, wait) = oneshot::channel();
-        self.command(EntryCommand::Patch(Box::new(patch), operator, reply))?;
-        match wait.await {
+        let (reply, receiver) = oneshot::channel();
+        self.send_command(ApiCommand::Patch(Box::new(patch), operator, reply))?;
+        match receiver.await {
             Ok(PatchOutcome::Accepted(configuration)) => {
-                let made = configuration.accepted(&id).map(|summary| summary.version);
-                let version = made.unwrap_or(configuration.version);
+                let accepted_version = configuration.accepted(&id).map(|summary| summary.version);
+                let version = accepted_version.unwrap_or(configuration.version);
                 Ok(body::json(StatusCode::OK, &VersionBody { version }))
             }
-            Ok(PatchOutcome::Refused(problems)) => Err(reasons(&problems)),
+            Ok(PatchOutcome::Refused(problems)) => Err(patch_refused(&problems)),
             Ok(PatchOutcome::Unknown) | Err(_) => Err(ApiError::OutcomeUnknown),
         }
     }
 
-    fn command(&self, command: EntryCommand) -> Result<(), ApiError> {
+    fn send_command(&self, command: ApiCommand) -> Result<(), ApiError> {
         self.shared
             .commands
             .try_send(command)
--- a/src/daemon/kill.rs
+++ b/src/daemon/kill.rs
@@ -1,21 +1,22 @@
-//! Ending a daemon at once.
+//! The shutdown signal, which stops every thread of a daemon at once and without a
+//! drain.
 
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The switch that ends every thread of a daemon.
+/// Sends the shutdown signal to every thread of a daemon.
 #[derive(Clone, Debug)]
-pub struct Kill {
+pub struct ShutdownSignal {
     sender: Arc<watch::Sender<bool>>,
 }
 
-/// One thread's view of the switch.
+/// Receives the shutdown signal in one thread.
 #[derive(Clone, Debug)]
-pub struct Killed {
+pub struct ShutdownReceiver {
     receiver: watch::Receiver<bool>,
 }
 
-impl Default for Kill {
+impl Default for ShutdownSignal {
     fn default() -> Self {
         Self {
             sender: Arc::new(watch::Sender::new(false)),
@@ -23,26 +24,26 @@
     }
 }
 
-impl Kill {
-    /// A view for one thread.
-    pub fn killed(&self) -> Killed {
-        Killed {
+impl ShutdownSignal {
+    /// Returns a receiver for one thread.
+    pub fn subscribe(&self) -> ShutdownReceiver {
+        ShutdownReceiver {
             receiver: self.sender.subscribe(),
         }
     }
 
-    /// Throws the switch.
-    pub fn kill(&self) {
+    /// Sends the signal.
+    pub fn send(&self) {
         self.sender.send_replace(true);
     }
 }
 
-impl Killed {
-    /// Runs `work` until it is done or the switch is thrown.
-    pub async fn or(mut self, work: impl Future<Output = ()>) {
+impl ShutdownReceiver {
+    /// Runs `work` until it completes or the signal is sent.
+    pub async fn run_until(mut self, work: impl Future<Output = ()>) {
         tokio::select! {
             () = work => {}
-            _ = self.receiver.wait_for(|killed| *killed) => {}
+            _ = self.receiver.wait_for(|is_sent| *is_sent) => {}
         }
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,9 @@
-//! The daemon: entry, candidate owner and worker monitor in one process.
+//! The daemon process: it serves the HTTP API, takes part in the election of the
+//! data centre's owner and monitors a share of the workers.
+//!
+//! The control thread alone accesses the owner's state. The traffic thread exchanges
+//! data with the store, the workers and other daemons. The HTTP threads serve callers
+//! and operators.
 
 mod answer;
 mod auth;
--- a/src/daemon/patch.rs
+++ b/src/daemon/patch.rs
@@ -1,4 +1,6 @@
-//! Accepting patches: one compare-and-swap makes a version.
+//! Checks and applies configuration patches.
+//!
+//! Each accepted patch makes one version, written by a single compare-and-swap.
 
 use super::configuration::{
     self,
@@ -27,22 +29,25 @@
 use crate::events;
 use std::collections::BTreeSet;
 
-/// What became of a patch.
+/// The outcome of submitting a patch.
 #[derive(Clone, Debug)]
 pub enum PatchOutcome {
-    /// It is this version, now or since an earlier submission.
+    /// The patch is part of this configuration, through this submission or an earlier
+    /// one.
     Accepted(Box<Configuration>),
-    /// It is refused whole, for these reasons.
+    /// The patch is refused as a whole, for these reasons.
     Refused(Vec<PatchProblem>),
-    /// Whether it took effect cannot be known now; its id will tell.
+    /// It is not known whether the patch took effect. Submitting it again under the same
+    /// id resolves this.
     Unknown,
 }
 
-/// Reads the configuration as it is stored now.
+/// Reads the stored configuration and the version of its key in the store. Before the
+/// first patch these are the default configuration and 0.
 ///
 /// # Errors
 ///
-/// The service does not answer, or the value cannot be read.
+/// The store does not answer, or the value cannot be decoded.
 pub async fn current(store: &Store) -> Result<(u64, Configuration), StoreFailure> {
     let key = CONFIGURATION_KEY.to_owned();
     match store.call(StoreCall::Get { key }).await? {
@@ -54,11 +59,12 @@
     }
 }
 
-/// Checks a patch against `configuration` and the fleet in the list.
+/// Checks a patch against `configuration` and the fleets in the platform's list, and
+/// returns the configuration that the patch makes.
 ///
 /// # Errors
 ///
-/// All reasons at once why the patch is refused.
+/// Returns every reason for which the patch is refused.
 pub async fn check(
     configuration: &Configuration,
     membership: &Membership,
@@ -71,13 +77,13 @@
         Ok(next) => next.declaration.clone(),
         Err(_) => return next,
     };
-    let places: BTreeSet<&String> = candidate
+    let guaranteed_in: BTreeSet<&String> = candidate
         .accounts
         .iter()
         .flat_map(|account| account.guarantees.iter().map(|g| &g.data_centre))
         .collect();
     let mut problems = Vec::new();
-    for data_centre in places {
+    for data_centre in guaranteed_in {
         let scope = ListScope::DataCentre(data_centre.clone());
         let ListAnswer::Changed { vms, .. } = membership.list(scope, "").await else {
             problems.push(PatchProblem::FleetUnknown {
@@ -100,6 +106,7 @@
     }
 }
 
+/// Returns the fleet of the listed workers that are not leaving.
 fn nominal_fleet(vms: &[VmRecord]) -> Fleet {
     let mut workers: Vec<&VmRecord> = vms
         .iter()
@@ -114,8 +121,8 @@
     fleet
 }
 
-/// Submits a patch. Submitting the same patch again finds the version that it
-/// made, also when the answer to the first submission was lost.
+/// Submits a patch. Submitting the same patch again finds the version that it already
+/// made, even if the answer to the first submission was lost.
 pub async fn submit(
     store: &Store,
     membership: &Membership,
@@ -140,12 +147,12 @@
             return PatchOutcome::Refused(problems);
         }
     };
-    let written = store.call(StoreCall::CompareAndSwap {
+    let write = store.call(StoreCall::CompareAndSwap {
         key: CONFIGURATION_KEY.to_owned(),
         expected_version: version,
         value: configuration::encode(&next),
     });
-    match written.await {
+    match write.await {
         Ok(StoreAnswer::Written { .. }) => {
             events::log(
                 events::PATCH_ACCEPTED,
@@ -157,8 +164,9 @@
     }
 }
 
-/// The write conflicted or its answer was lost: the history says whether the
-/// patch is in. If it is not and another version is, the patch was too late.
+/// Determines the outcome after the write conflicted or its answer was lost. The
+/// history shows whether the patch was accepted. If it was not and another version
+/// replaced its base version, the patch is refused.
 async fn read_back(store: &Store, patch: &Patch) -> PatchOutcome {
     let Ok((_, configuration)) = current(store).await else {
         return PatchOutcome::Unknown;
--- a/src/daemon/peer.rs
+++ b/src/daemon/peer.rs
@@ -1,4 +1,5 @@
-//! Connections between daemons: signs of life, passed-on requests, news.
+//! Connections between daemons, which carry heartbeats, forwarded requests and worker
+//! updates.
 
 use super::configuration;
 use super::control::Control;
@@ -43,25 +44,27 @@
 };
 use tokio_util::codec::Framed;
 
-/// Frames that may wait for one connection before requests fail.
-const LINK_QUEUE_LENGTH: usize = 1_024;
+/// Frames that may wait for one connection. While the queue is full, requests fail and
+/// heartbeats are dropped.
+const CONNECTION_QUEUE_LENGTH: usize = 1_024;
 const CONNECT_TIMEOUT_MS: u64 = 500;
 const HELLO_TIMEOUT_MS: u64 = 2_000;
-const OWNER_HEARTBEAT_MS: u64 = 500;
-/// Every other daemon's heartbeat is this many times rarer than the owner's.
+/// Interval of the owner's heartbeats.
+const OWNER_HEARTBEAT_INTERVAL_MS: u64 = 500;
+/// The heartbeat interval of other daemons is this many times the owner's.
 const HEARTBEAT_DIVISOR: u64 = 2;
-/// A request is passed on at most so often.
+/// Maximum number of times that a request is forwarded to the presumed owner.
 const MAX_HOPS: u32 = 2;
-/// How long a request waits for a change of owner before it is given up.
+/// How long a request is retried while the data centre changes its owner.
 const OWNER_WAIT_MS: u64 = 4_000;
 const OWNER_RETRY_MS: u64 = 150;
 
-enum LinkMessage {
+enum ConnectionMessage {
     Heartbeat(Heartbeat),
     Request(RequestFrame, oneshot::Sender<ReplyBody>),
 }
 
-/// What the connections of one daemon need; lives on the traffic thread.
+/// The connections of one daemon to its peers; lives on the traffic thread.
 #[derive(Clone)]
 pub struct Peers {
     shared: Rc<Shared>,
@@ -70,17 +73,20 @@
 struct Shared {
     daemon: String,
     data_centre: String,
+    /// Digest of the token that all daemons share.
     token: Bytes,
     timer: Timer,
     status: Arc<Status>,
     directory: Arc<Directory>,
     control: Control,
-    links: RefCell<HashMap<String, mpsc::Sender<LinkMessage>>>,
+    /// Outgoing connections by address.
+    connections: RefCell<HashMap<String, mpsc::Sender<ConnectionMessage>>>,
+    /// Incremented with each request to another data centre, to rotate over its daemons.
     turn: RefCell<usize>,
 }
 
 impl Peers {
-    /// Opens the connections' state; nothing is connected yet.
+    /// Creates the shared state; no connection is opened yet.
     pub fn open(
         daemon: &str,
         data_centre: &str,
@@ -100,13 +106,13 @@
                 status,
                 directory,
                 control,
-                links: RefCell::default(),
+                connections: RefCell::default(),
                 turn: RefCell::default(),
             }),
         }
     }
 
-    /// Accepts connections until the process ends.
+    /// Accepts connections until the daemon stops.
     pub async fn accept(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -128,17 +134,17 @@
             .timer
             .timeout(HELLO_TIMEOUT_MS, framed.next())
             .await;
-        let known = match first {
+        let is_authenticated = match first {
             Ok(Some(Ok(Frame {
                 kind: Some(FrameKind::Hello(hello)),
             }))) => bool::from(hello.token.ct_eq(&self.shared.token)),
             _ => false,
         };
-        if !known {
+        if !is_authenticated {
             metrics::counter!("fuchsiaslip_peers_refused_total").increment(1);
             return events::log(events::PEER_REFUSED, format_args!("no valid hello"));
         }
-        let (replies, mut outgoing) = mpsc::channel::<Frame>(LINK_QUEUE_LENGTH);
+        let (replies, mut outgoing) = mpsc::channel::<Frame>(CONNECTION_QUEUE_LENGTH);
         let (mut sink, mut stream) = framed.split();
         actix_rt::spawn(async move {
             while let Some(frame) = outgoing.recv().await {
@@ -149,7 +155,7 @@
         });
         while let Some(frame) = stream.next().await {
             match frame {
-                Ok(frame) => self.take(frame, &replies),
+                Ok(frame) => self.handle_frame(frame, &replies),
                 Err(error) => {
                     metrics::counter!("fuchsiaslip_broken_frames_total").increment(1);
                     events::log(events::FRAME_BROKEN, format_args!("{error}"));
@@ -159,9 +165,9 @@
         }
     }
 
-    fn take(&self, frame: Frame, replies: &mpsc::Sender<Frame>) {
+    fn handle_frame(&self, frame: Frame, replies: &mpsc::Sender<Frame>) {
         match frame.kind {
-            Some(FrameKind::Heartbeat(heartbeat)) => self.heartbeat(heartbeat),
+            Some(FrameKind::Heartbeat(heartbeat)) => self.handle_heartbeat(heartbeat),
             Some(FrameKind::Request(request)) => {
                 let peers = self.clone();
                 let replies = replies.clone();
@@ -172,7 +178,7 @@
                         number,
                         body: Some(body),
                     };
-                    // A peer that has gone away asks again elsewhere.
+                    // If the connection has closed, the peer retries elsewhere.
                     let _ = replies.send(FrameKind::Reply(reply).into()).await;
                 });
             }
@@ -180,26 +186,26 @@
         }
     }
 
-    fn heartbeat(&self, heartbeat: Heartbeat) {
+    fn handle_heartbeat(&self, heartbeat: Heartbeat) {
         let now_ms = self.shared.timer.now_ms();
-        let own = self.shared.status.configuration_version();
-        if heartbeat.configuration_version == own && own > 0 {
+        let own_version = self.shared.status.configuration_version();
+        if heartbeat.configuration_version == own_version && own_version > 0 {
             let confirmed_ms = now_ms.saturating_sub(heartbeat.confirmed_age_ms);
             let peers = self.clone();
-            actix_rt::spawn(async move { peers.confirm(confirmed_ms).await });
+            actix_rt::spawn(async move { peers.confirm_configuration(confirmed_ms).await });
         }
-        if heartbeat.configuration_version > own {
+        if heartbeat.configuration_version > own_version {
             let peers = self.clone();
             let daemon = heartbeat.daemon.clone();
             actix_rt::spawn(async move { peers.fetch_configuration(&daemon).await });
         }
-        self.shared.directory.heard(heartbeat, now_ms);
+        self.shared.directory.record_heartbeat(heartbeat, now_ms);
     }
 
-    async fn confirm(&self, asked_ms: u64) {
+    async fn confirm_configuration(&self, asked_ms: u64) {
         self.shared.status.confirm(asked_ms);
         let confirmed = Event::ConfigurationConfirmed { asked_ms };
-        self.shared.control.event(confirmed).await;
+        self.shared.control.send_event(confirmed).await;
     }
 
     async fn fetch_configuration(&self, daemon: &str) {
@@ -208,7 +214,8 @@
             return;
         };
         let body = RequestBody::Configuration(true);
-        let Some(ReplyBody::Configuration(body)) = self.ask(&peer.address, body, 0).await else {
+        let Some(ReplyBody::Configuration(body)) = self.send_request(&peer.address, body, 0).await
+        else {
             return;
         };
         if let Some(configuration) = configuration::decode(&body.value) {
@@ -225,7 +232,7 @@
                     return ReplyBody::NotFound(true);
                 };
                 match control
-                    .acknowledged(Event::WorkerUpdate { worker, update })
+                    .send_event_acknowledged(Event::WorkerUpdate { worker, update })
                     .await
                 {
                     true => ReplyBody::Taken(true),
@@ -240,14 +247,14 @@
                 ReplyBody::Configuration(ConfigurationBody { value })
             }
             Some(body) => match body.into_request() {
-                Some(wanted) => self.owner_reply(wanted, request.hops).await.into(),
+                Some(owner_request) => self.owner_reply(owner_request, request.hops).await.into(),
                 None => ReplyBody::NotFound(true),
             },
             None => ReplyBody::NotFound(true),
         }
     }
 
-    /// Asks the owner of this data centre, wherever it is now.
+    /// Sends a request to the owner of this data centre, which may be this daemon.
     async fn owner_reply(&self, request: Request, hops: u32) -> Reply {
         if self.shared.status.owner_epoch() > 0 {
             return self.shared.control.request(request).await;
@@ -256,29 +263,29 @@
         let Some((address, _, _)) = owner.filter(|_| hops < MAX_HOPS) else {
             return Reply::NotOwner;
         };
-        let body = self.ask(&address, request.into(), hops + 1).await;
+        let body = self.send_request(&address, request.into(), hops + 1).await;
         body.and_then(ReplyBody::into_reply)
             .unwrap_or(Reply::OutcomeUnknown)
     }
 
-    /// Carries a request to the owner of a data centre. While the ownership
-    /// changes the request is tried again: a submission carries its key, so
-    /// that the job is accepted once however often it is asked for.
+    /// Sends a request to the owner of a data centre and retries it while the ownership
+    /// changes. Retries are safe because a submission carries its idempotency key: the
+    /// job is accepted once, however often the request is sent.
     pub async fn route(&self, data_centre: &str, request: Request) -> Reply {
         let until_ms = self.shared.timer.now_ms() + OWNER_WAIT_MS;
-        let mut unknown = false;
+        let mut outcome_unknown = false;
         loop {
             let reply = self.route_once(data_centre, request.clone()).await;
             match reply {
                 Reply::NotOwner => {}
-                Reply::OutcomeUnknown => unknown = true,
-                // An earlier try of this request may have been accepted by an
-                // owner that is gone: "not run" would be a guess.
-                Reply::Refused(_) if unknown => {}
+                Reply::OutcomeUnknown => outcome_unknown = true,
+                // An owner that is gone may have accepted an earlier attempt of this
+                // request, so this refusal does not show that the job did not run.
+                Reply::Refused(_) if outcome_unknown => {}
                 reply => return reply,
             }
             if self.shared.timer.now_ms() >= until_ms {
-                return match unknown {
+                return match outcome_unknown {
                     true => Reply::OutcomeUnknown,
                     false => Reply::NotOwner,
                 };
@@ -301,54 +308,67 @@
         let Some(address) = self.shared.directory.daemon_in(data_centre, turn) else {
             return Reply::NotOwner;
         };
-        let body = self.ask(&address, request.into(), 0).await;
+        let body = self.send_request(&address, request.into(), 0).await;
         body.and_then(ReplyBody::into_reply)
             .unwrap_or(Reply::OutcomeUnknown)
     }
 
-    /// Delivers news to the owner; says whether an owner took it in.
+    /// Delivers a worker update to the owner and returns whether an owner handled it. On
+    /// the owner, an update that cannot be decoded is dropped and counts as handled.
     pub async fn deliver(&self, body: crate::wire::WorkerUpdateBody) -> bool {
         if self.shared.status.owner_epoch() > 0 {
             let Some((worker, update)) = body.into_update() else {
                 return true;
             };
             let event = Event::WorkerUpdate { worker, update };
-            return self.shared.control.acknowledged(event).await;
+            return self.shared.control.send_event_acknowledged(event).await;
         }
         let owner = self.shared.directory.owner(self.shared.timer.now_ms());
         let Some((address, _, _)) = owner else {
             return false;
         };
-        let reply = self.ask(&address, RequestBody::WorkerUpdate(body), 0).await;
+        let reply = self
+            .send_request(&address, RequestBody::WorkerUpdate(body), 0)
+            .await;
         matches!(reply, Some(ReplyBody::Taken(_)))
     }
 
-    async fn ask(&self, address: &str, body: RequestBody, hops: u32) -> Option<ReplyBody> {
-        let (reply, wait) = oneshot::channel();
+    async fn send_request(&self, address: &str, body: RequestBody, hops: u32) -> Option<ReplyBody> {
+        let (reply, receiver) = oneshot::channel();
         let frame = RequestFrame {
             number: 0,
             hops,
             body: Some(body),
         };
-        let link = self.link(address);
-        link.try_send(LinkMessage::Request(frame, reply)).ok()?;
-        wait.await.ok()
+        let connection = self.connection(address);
+        connection
+            .try_send(ConnectionMessage::Request(frame, reply))
+            .ok()?;
+        receiver.await.ok()
     }
 
-    fn link(&self, address: &str) -> mpsc::Sender<LinkMessage> {
-        let mut links = self.shared.links.borrow_mut();
-        if let Some(link) = links.get(address).filter(|link| !link.is_closed()) {
-            return link.clone();
+    /// Returns the connection to `address`; opens one if there is none.
+    fn connection(&self, address: &str) -> mpsc::Sender<ConnectionMessage> {
+        let mut connections = self.shared.connections.borrow_mut();
+        if let Some(connection) = connections
+            .get(address)
+            .filter(|connection| !connection.is_closed())
+        {
+            return connection.clone();
         }
-        let (sender, messages) = mpsc::channel(LINK_QUEUE_LENGTH);
-        links.insert(address.to_owned(), sender.clone());
-        actix_rt::spawn(self.clone().run_link(address.to_owned(), messages));
+        let (sender, messages) = mpsc::channel(CONNECTION_QUEUE_LENGTH);
+        connections.insert(address.to_owned(), sender.clone());
+        actix_rt::spawn(self.clone().run_connection(address.to_owned(), messages));
         sender
     }
 
-    /// One connection; when it breaks, its requests fail and the next message
-    /// opens another.
-    async fn run_link(self, address: String, mut messages: mpsc::Receiver<LinkMessage>) {
+    /// Runs one connection. When it breaks, its pending requests fail, and the next
+    /// message opens a new connection.
+    async fn run_connection(
+        self,
+        address: String,
+        mut messages: mpsc::Receiver<ConnectionMessage>,
+    ) {
         let connecting = TcpStream::connect(&address);
         let connected = self
             .shared
@@ -367,18 +387,18 @@
         if sink.send(FrameKind::Hello(hello).into()).await.is_err() {
             return;
         }
-        let mut waiting: HashMap<u64, oneshot::Sender<ReplyBody>> = HashMap::new();
+        let mut pending: HashMap<u64, oneshot::Sender<ReplyBody>> = HashMap::new();
         let mut next_number = 0;
         loop {
             tokio::select! {
                 message = messages.recv() => {
                     let kind = match message {
                         None => return,
-                        Some(LinkMessage::Heartbeat(heartbeat)) => FrameKind::Heartbeat(heartbeat),
-                        Some(LinkMessage::Request(mut frame, reply)) => {
+                        Some(ConnectionMessage::Heartbeat(heartbeat)) => FrameKind::Heartbeat(heartbeat),
+                        Some(ConnectionMessage::Request(mut frame, reply)) => {
                             next_number += 1;
                             frame.number = next_number;
-                            waiting.insert(next_number, reply);
+                            pending.insert(next_number, reply);
                             FrameKind::Request(frame)
                         }
                     };
@@ -388,10 +408,10 @@
                 }
                 frame = frames.next() => match frame {
                     Some(Ok(Frame { kind: Some(FrameKind::Reply(reply)) })) => {
-                        let asker = waiting.remove(&reply.number);
-                        if let (Some(asker), Some(body)) = (asker, reply.body) {
-                            // The asker may have given up waiting.
-                            let _ = asker.send(body);
+                        let reply_sender = pending.remove(&reply.number);
+                        if let (Some(reply_sender), Some(body)) = (reply_sender, reply.body) {
+                            // The sender may have stopped waiting.
+                            let _ = reply_sender.send(body);
                         }
                     }
                     Some(Ok(_)) => {}
@@ -401,39 +421,40 @@
         }
     }
 
-    /// Tells the peers of the data centre that this daemon lives, and decides
-    /// whether it should try to become owner.
-    pub async fn beat(self) {
+    /// Sends heartbeats to the peers of the data centre and decides whether this daemon
+    /// should try to become owner. Does not return.
+    pub async fn run_heartbeats(self) {
         let started_ms = self.shared.timer.now_ms();
         let mut last_owner_ms = started_ms;
-        let mut told_version = 0;
+        let mut announced_version = 0;
         let mut round = 0;
-        let mut ticks = self.shared.timer.interval(OWNER_HEARTBEAT_MS);
+        let mut ticks = self.shared.timer.interval(OWNER_HEARTBEAT_INTERVAL_MS);
         loop {
             let now_ms = ticks.next().await;
             round += 1;
             let status = &self.shared.status;
             let is_owner = status.owner_epoch() > 0;
             let version = status.configuration_version();
-            if is_owner || version != told_version || round % HEARTBEAT_DIVISOR == 0 {
-                told_version = version;
-                self.tell_peers(now_ms);
+            if is_owner || version != announced_version || round % HEARTBEAT_DIVISOR == 0 {
+                announced_version = version;
+                self.send_heartbeat(now_ms);
             }
             let owner = self.shared.directory.owner(now_ms);
             if is_owner || owner.is_some() {
                 last_owner_ms = now_ms;
             }
-            let patience_ms = OWNER_HEARTBEAT_MS * self.shared.directory.rank(now_ms);
-            let is_candidate = is_owner || now_ms >= last_owner_ms + patience_ms && owner.is_none();
+            let rank_delay_ms = OWNER_HEARTBEAT_INTERVAL_MS * self.shared.directory.rank(now_ms);
+            let is_candidate =
+                is_owner || now_ms >= last_owner_ms + rank_delay_ms && owner.is_none();
             self.shared
                 .control
-                .event(Event::Candidacy(is_candidate))
+                .send_event(Event::Candidacy(is_candidate))
                 .await;
         }
     }
 
     /// Sends one heartbeat to every peer of the data centre.
-    pub fn tell_peers(&self, now_ms: u64) {
+    pub fn send_heartbeat(&self, now_ms: u64) {
         let status = &self.shared.status;
         let heartbeat = Heartbeat {
             daemon: self.shared.daemon.clone(),
@@ -443,9 +464,9 @@
             draining: status.is_draining(),
         };
         for peer in self.shared.directory.peers() {
-            let message = LinkMessage::Heartbeat(heartbeat.clone());
-            // A full queue means a stuck peer; it misses a heartbeat.
-            let _ = self.link(&peer.address).try_send(message);
+            let message = ConnectionMessage::Heartbeat(heartbeat.clone());
+            // A full queue means that the peer is stuck; it misses this heartbeat.
+            let _ = self.connection(&peer.address).try_send(message);
         }
     }
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,16 +1,16 @@
-//! Starting, running and draining a daemon.
+//! Starts, runs and drains a daemon.
 
 use super::configuration;
 use super::control::Control;
 use super::directory::Directory;
 use super::entry::{
-    Entry,
-    EntryCommand,
+    Api,
+    ApiCommand,
     Shared, //
 };
 use super::kill::{
-    Kill,
-    Killed, //
+    ShutdownReceiver,
+    ShutdownSignal, //
 };
 use super::patch;
 use super::peer::Peers;
@@ -66,10 +66,11 @@
 const COMMAND_QUEUE_LENGTH: usize = 4_096;
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-const DRAIN_CHECK_MS: u64 = 50;
-/// The list of daemons everywhere is read so many times less often.
+const DRAIN_CHECK_INTERVAL_MS: u64 = 50;
+/// The list of the daemons of all data centres is read this many times less often than
+/// the list of the VMs of this data centre.
 const DAEMON_LIST_DIVISOR: u64 = 6;
-/// The balancer and the peers learn of the drain within this time.
+/// Time within which the load balancer and the peers learn of the drain.
 const DRAIN_NOTICE_MS: u64 = 1_000;
 
 /// A process of fuchsiaslip: entry, candidate owner and keeper.
@@ -93,16 +94,16 @@
     check: bool,
 }
 
-/// Why the daemon does not run.
+/// Why the daemon cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings file is wrong.
+    /// The settings file is invalid.
     #[error("{}", problems(.0))]
     Settings(Vec<SettingsProblem>),
-    /// Neither settings nor a platform are named.
+    /// Neither --settings nor --platform is given.
     #[error("no settings are named; use --settings FILE or --platform")]
     NoSettings,
-    /// The daemon on an operator's platform does not run.
+    /// The daemon on an operator's platform cannot run.
     #[error(transparent)]
     Cluster(#[from] crate::cluster::Error),
     /// An address cannot be listened on.
@@ -110,9 +111,9 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Field of the settings that names it.
+        /// Field of the settings that contains the address.
         field: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A thread cannot be started.
@@ -128,11 +129,12 @@
     lines.join("\n")
 }
 
-/// Runs the daemon as the command line says.
+/// Runs the daemon with the arguments of the command line.
 ///
 /// # Errors
 ///
-/// The settings are wrong, or an address or thread cannot be had.
+/// The settings are invalid, an address cannot be listened on, or a thread cannot be
+/// started.
 pub fn run() -> Result<(), Error> {
     let arguments: Arguments = argh::from_env();
     if arguments.platform && arguments.check {
@@ -186,15 +188,16 @@
         .map_err(|error| Error::Log(error.to_string()))
 }
 
-/// The first signal drains; each further one says what would be lost.
+/// Drains the daemon on the first signal. Each further signal only logs how many requests
+/// are in progress, since ending the process would cut their connections.
 async fn drain_on_signal(daemon: &Daemon) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let mut checks = daemon.timer.interval(DRAIN_CHECK_MS);
+    let mut checks = daemon.timer.interval(DRAIN_CHECK_INTERVAL_MS);
     loop {
         tokio::select! {
-            _ = terminate.recv() => daemon.signalled(),
-            _ = interrupt.recv() => daemon.signalled(),
+            _ = terminate.recv() => daemon.handle_signal(),
+            _ = interrupt.recv() => daemon.handle_signal(),
             _ = checks.next() => if daemon.is_drained() {
                 return Ok(());
             },
@@ -202,14 +205,15 @@
     }
 }
 
-/// The metrics recorder of the process, installed once.
+/// Returns the handle of the metrics recorder, which the first call in the process
+/// installs.
 fn metrics_handle() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     HANDLE
         .get_or_init(|| {
             let recorder = PrometheusBuilder::new().build_recorder();
             let handle = recorder.handle();
-            // Another recorder may be there in a test; then nothing is shown.
+            // A test may have installed another recorder; this one then stays empty.
             let _ = metrics::set_global_recorder(recorder);
             handle
         })
@@ -218,22 +222,23 @@
 
 /// A running daemon.
 pub struct Daemon {
-    /// Where callers reach it.
+    /// Address of the HTTP API.
     pub http_address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for other daemons.
     pub peer_address: SocketAddr,
     status: Arc<Status>,
     timer: Timer,
-    drain_seen_ms: std::sync::atomic::AtomicU64,
-    kill: Kill,
+    /// When `is_drained` first found the daemon draining, in ms; 0 before.
+    drain_noticed_ms: std::sync::atomic::AtomicU64,
+    shutdown: ShutdownSignal,
 }
 
 impl Daemon {
-    /// Starts a daemon; port 0 in the settings takes a free port.
+    /// Starts a daemon. Port 0 in the settings selects a free port.
     ///
     /// # Errors
     ///
-    /// An address or a thread cannot be had.
+    /// An address cannot be listened on, or a thread cannot be started.
     pub fn spawn(settings: Settings, timer: Timer) -> Result<Self, Error> {
         let http = listen(settings.http_address, "http_address")?;
         let peer = listen(settings.peer_address, "peer_address")?;
@@ -242,10 +247,16 @@
         let directory = Arc::new(Directory::new(&settings.daemon, &settings.data_centre));
         let settings = Arc::new(settings);
         let owner = Owner::open(owner_settings(&settings, timer.now_ms()));
-        let (actions, calls) = mpsc::unbounded_channel();
-        let kill = Kill::default();
-        let control = Control::spawn(owner, timer.clone(), status.clone(), actions, kill.killed())?;
-        let (commands, received) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+        let (actions, action_receiver) = mpsc::unbounded_channel();
+        let shutdown = ShutdownSignal::default();
+        let control = Control::spawn(
+            owner,
+            timer.clone(),
+            status.clone(),
+            actions,
+            shutdown.subscribe(),
+        )?;
+        let (commands, command_receiver) = mpsc::channel(COMMAND_QUEUE_LENGTH);
         let shared = Shared {
             settings: settings.clone(),
             status: status.clone(),
@@ -253,7 +264,7 @@
             commands,
             metrics: metrics_handle(),
         };
-        let parts = Parts {
+        let traffic_thread = TrafficThread {
             settings,
             status: status.clone(),
             directory,
@@ -263,15 +274,19 @@
         std::thread::Builder::new()
             .name("traffic".to_owned())
             .spawn({
-                let killed = kill.killed();
+                let shutdown_receiver = shutdown.subscribe();
                 move || {
-                    let running = killed.or(parts.run(peer, calls, received));
+                    let running = shutdown_receiver.run_until(traffic_thread.run(
+                        peer,
+                        action_receiver,
+                        command_receiver,
+                    ));
                     actix_rt::System::new().block_on(running);
                 }
             })?;
         std::thread::Builder::new().name("http".to_owned()).spawn({
-            let killed = kill.killed();
-            move || serve_http(http, shared, killed)
+            let shutdown_receiver = shutdown.subscribe();
+            move || serve_http(http, shared, shutdown_receiver)
         })?;
         events::log(
             events::DAEMON_STARTED,
@@ -282,12 +297,12 @@
             peer_address,
             status,
             timer,
-            drain_seen_ms: Default::default(),
-            kill,
+            drain_noticed_ms: Default::default(),
+            shutdown,
         })
     }
 
-    fn signalled(&self) {
+    fn handle_signal(&self) {
         if self.status.is_draining() {
             let requests = self.status.requests();
             return events::log(events::DRAIN_HURRIED, format_args!("{requests} requests"));
@@ -295,19 +310,21 @@
         self.drain();
     }
 
-    /// Begins to drain.
+    /// Starts to drain.
     pub fn drain(&self) {
         events::log(events::DRAIN_STARTED, format_args!("{}", self.http_address));
         self.status.drain();
     }
 
-    /// Ends the daemon at once, as the death of its VM would: nothing is handed
-    /// over and its connections are cut. For tests and the demo.
+    /// Stops the daemon at once, as the loss of its VM would: nothing is handed over and
+    /// its connections are cut. For tests and the demo.
     pub fn kill(&self) {
-        self.kill.kill();
+        self.shutdown.send();
     }
 
-    /// Whether everything is handed over and nothing is in progress.
+    /// Returns whether the drain is complete: the ownership is handed over, no request is
+    /// in progress, and `DRAIN_NOTICE_MS` have passed since the first call that found the
+    /// daemon draining.
     pub fn is_drained(&self) -> bool {
         use std::sync::atomic::Ordering::Relaxed;
         if !self.status.is_draining() {
@@ -315,9 +332,9 @@
         }
         let now_ms = self.timer.now_ms();
         let _ = self
-            .drain_seen_ms
+            .drain_noticed_ms
             .compare_exchange(0, now_ms, Relaxed, Relaxed);
-        let noticed = now_ms >= self.drain_seen_ms.load(Relaxed) + DRAIN_NOTICE_MS;
+        let noticed = now_ms >= self.drain_noticed_ms.load(Relaxed) + DRAIN_NOTICE_MS;
         let drained = noticed && self.status.has_handed_over() && self.status.requests() == 0;
         if drained {
             events::log(
@@ -339,7 +356,7 @@
     }
 }
 
-fn list_silent() {
+fn count_failed_list() {
     metrics::counter!("fuchsiaslip_retries_total", "reason" => "list_silent").increment(1);
 }
 
@@ -354,8 +371,8 @@
 }
 
 fn owner_settings(settings: &Settings, now_ms: u64) -> OwnerSettings {
-    // Two processes never share a name for a write: the range starts at a
-    // random number, and the lease holder's name carries the start time.
+    // Two processes must not use the same write id or lease holder name: the ids start
+    // at a random number, and the holder's name contains the start time.
     let first_write_id = rand::random::<u64>() >> 1;
     let holder = format!("{}@{now_ms}", settings.daemon);
     let mut owner = OwnerSettings::new(&settings.data_centre, &holder, first_write_id);
@@ -366,16 +383,16 @@
     owner
 }
 
-fn serve_http(listener: TcpListener, shared: Shared, killed: Killed) {
+fn serve_http(listener: TcpListener, shared: Shared, shutdown: ShutdownReceiver) {
     let threads = shared.settings.http_threads;
     let factory = move || {
-        let entry = Entry::open(shared.clone());
+        let api = Api::open(shared.clone());
         HttpService::build()
             .keep_alive(KEEP_ALIVE)
             .client_request_timeout(REQUEST_HEAD_TIMEOUT)
             .finish(move |request: Request| {
-                let entry = entry.clone();
-                async move { Ok::<_, Infallible>(entry.answer(request).await) }
+                let api = api.clone();
+                async move { Ok::<_, Infallible>(api.answer(request).await) }
             })
             .tcp()
     };
@@ -385,17 +402,17 @@
             .disable_signals()
             .listen("http", listener, factory);
         if let Ok(server) = server {
-            // Serves until the process ends; a drain is watched elsewhere.
+            // Serves until the shutdown signal. `drain_on_signal` handles the drain.
             let running = server.run();
             let handle = running.handle();
-            killed.or(async { drop(running.await) }).await;
+            shutdown.run_until(async { drop(running.await) }).await;
             handle.stop(false).await;
         }
     });
 }
 
-/// What the traffic thread is made of.
-struct Parts {
+/// The state of the traffic thread, which exchanges data with the platform and peers.
+struct TrafficThread {
     settings: Arc<Settings>,
     status: Arc<Status>,
     directory: Arc<Directory>,
@@ -403,12 +420,12 @@
     control: Control,
 }
 
-impl Parts {
+impl TrafficThread {
     async fn run(
         self,
         listener: TcpListener,
-        calls: mpsc::UnboundedReceiver<crate::owner::Action>,
-        commands: mpsc::Receiver<EntryCommand>,
+        actions: mpsc::UnboundedReceiver<crate::owner::Action>,
+        commands: mpsc::Receiver<ApiCommand>,
     ) {
         let address = self.settings.platform_address.to_string();
         let platform = HttpPlatform::open(&address, self.timer.clone());
@@ -442,7 +459,7 @@
         };
         let control = self.control.clone();
         actix_rt::spawn(traffic::run(
-            calls,
+            actions,
             store.clone(),
             platform.workers(),
             control,
@@ -452,31 +469,32 @@
         }
         actix_rt::spawn(watch.run());
         actix_rt::spawn(worker_monitor.run());
-        actix_rt::spawn(peers.clone().beat());
-        let parts = std::rc::Rc::new(self);
-        actix_rt::spawn(parts.clone().follow_list(platform.membership()));
-        actix_rt::spawn(parts.clone().follow_drain(peers.clone()));
+        actix_rt::spawn(peers.clone().run_heartbeats());
+        let thread = std::rc::Rc::new(self);
+        actix_rt::spawn(thread.clone().refresh_lists(platform.membership()));
+        actix_rt::spawn(thread.clone().announce_drain(peers.clone()));
         let membership = platform.membership();
-        parts
+        thread
             .serve_commands(commands, peers, store, membership)
             .await;
     }
 
-    /// Follows the platform's list: the own data centre, and less often the
-    /// daemons of the others. A list that has not changed costs a few bytes.
-    async fn follow_list(self: std::rc::Rc<Self>, membership: Membership) {
+    /// Reads the platform's lists at regular intervals: the VMs of this data centre, and
+    /// less often the daemons of all data centres. A list that has not changed since its
+    /// entity tag costs a few bytes.
+    async fn refresh_lists(self: std::rc::Rc<Self>, membership: Membership) {
         let mut ticks = self.timer.interval(self.settings.list_ms);
-        let (mut here_tag, mut daemons_tag) = (String::new(), String::new());
+        let (mut members_tag, mut daemons_tag) = (String::new(), String::new());
         for round in 0u64.. {
-            self.list_here(&membership, &mut here_tag).await;
+            self.refresh_members(&membership, &mut members_tag).await;
             if round % DAEMON_LIST_DIVISOR == 0 {
-                self.list_daemons(&membership, &mut daemons_tag).await;
+                self.refresh_daemons(&membership, &mut daemons_tag).await;
             }
             ticks.next().await;
         }
     }
 
-    async fn list_here(&self, membership: &Membership, tag: &mut String) {
+    async fn refresh_members(&self, membership: &Membership, tag: &mut String) {
         let scope = ListScope::DataCentre(self.settings.data_centre.clone());
         match membership.list(scope, tag).await {
             ListAnswer::Changed { tag: new, vms } => {
@@ -484,72 +502,75 @@
                 self.directory.set_members(vms.clone());
                 let workers = vms.into_iter().filter(|vm| vm.kind == VmKind::Worker);
                 let members = Event::Members(workers.collect());
-                self.control.event(members).await;
+                self.control.send_event(members).await;
             }
             ListAnswer::Unchanged => {}
-            ListAnswer::Silent => list_silent(),
+            ListAnswer::Silent => count_failed_list(),
         }
     }
 
-    async fn list_daemons(&self, membership: &Membership, tag: &mut String) {
+    async fn refresh_daemons(&self, membership: &Membership, tag: &mut String) {
         match membership.list(ListScope::Daemons, tag).await {
             ListAnswer::Changed { tag: new, vms } => {
                 *tag = new;
                 self.directory.set_daemons(vms);
             }
             ListAnswer::Unchanged => {}
-            ListAnswer::Silent => list_silent(),
+            ListAnswer::Silent => count_failed_list(),
         }
     }
 
-    async fn follow_drain(self: std::rc::Rc<Self>, peers: Peers) {
+    /// Waits for the drain to start, then notifies the peers and the owner.
+    async fn announce_drain(self: std::rc::Rc<Self>, peers: Peers) {
         while !self.status.is_draining() {
-            self.timer.sleep(DRAIN_CHECK_MS).await;
+            self.timer.sleep(DRAIN_CHECK_INTERVAL_MS).await;
         }
-        peers.tell_peers(self.timer.now_ms());
-        self.control.event(Event::Drain).await;
+        peers.send_heartbeat(self.timer.now_ms());
+        self.control.send_event(Event::Drain).await;
     }
 
     async fn serve_commands(
         self: std::rc::Rc<Self>,
-        mut commands: mpsc::Receiver<EntryCommand>,
+        mut commands: mpsc::Receiver<ApiCommand>,
         peers: Peers,
         store: Store,
         membership: Membership,
     ) {
         while let Some(command) = commands.recv().await {
-            let parts = self.clone();
+            let thread = self.clone();
             let (peers, store) = (peers.clone(), store.clone());
             let membership = membership.clone();
             actix_rt::spawn(async move {
-                parts.serve_command(command, peers, store, membership).await;
+                thread
+                    .serve_command(command, peers, store, membership)
+                    .await;
             });
         }
     }
 
     async fn serve_command(
         &self,
-        command: EntryCommand,
+        command: ApiCommand,
         peers: Peers,
         store: Store,
         membership: Membership,
     ) {
         let now_ms = self.timer.now_ms();
-        // Whoever asked may have gone away in each of these.
+        // In each case the sender of the command may have stopped waiting.
         match command {
-            EntryCommand::Route(data_centre, request, reply) => {
+            ApiCommand::Route(data_centre, request, reply) => {
                 let _ = reply.send(peers.route(&data_centre, request).await);
             }
-            EntryCommand::Patch(patch, operator, reply) => {
+            ApiCommand::Patch(patch, operator, reply) => {
                 let outcome = patch::submit(&store, &membership, &patch, &operator, now_ms).await;
                 if let patch::PatchOutcome::Accepted(configuration) = &outcome {
                     let configuration = configuration.as_ref().clone();
                     configuration::put_in_force(&self.status, &self.control, configuration).await;
-                    peers.tell_peers(self.timer.now_ms());
+                    peers.send_heartbeat(self.timer.now_ms());
                 }
                 let _ = reply.send(outcome);
             }
-            EntryCommand::Plan(patch, reply) => {
+            ApiCommand::Plan(patch, reply) => {
                 let planned = match patch::current(&store).await {
                     Ok((_, current)) => {
                         let checked = patch::check(&current, &membership, &patch, "", now_ms);
--- a/src/daemon/settings.rs
+++ b/src/daemon/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings, read once from a TOML file and passed on.
+//! The daemon's settings, which are read from a TOML file once, at start.
 
 use serde::Deserialize;
 use std::fmt;
@@ -20,11 +20,11 @@
     pub daemon: String,
     /// The data centre in which it runs.
     pub data_centre: String,
-    /// Where callers and operators reach it.
+    /// Address on which it serves callers and operators.
     pub http_address: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address on which it serves other daemons.
     pub peer_address: SocketAddr,
-    /// Where the platform's services are.
+    /// Address of the platform's services.
     pub platform_address: SocketAddr,
     /// The secret that all daemons share.
     pub peer_token: String,
@@ -35,27 +35,27 @@
     /// Threads that serve HTTP.
     #[serde(default = "default_http_threads")]
     pub http_threads: usize,
-    /// Learn new configuration versions from the owner rather than by a watch
-    /// of one's own.
+    /// Whether the daemon learns new configuration versions from the owner instead of
+    /// watching the store itself.
     #[serde(default = "default_configuration_relay")]
     pub configuration_relay: bool,
-    /// Length of the owner's lease.
+    /// Length of the owner's lease, in ms.
     #[serde(default = "default_lease_ttl_ms")]
     pub lease_ttl_ms: u64,
-    /// How long a worker's tasks go on without a renewal.
+    /// How long a worker's tasks continue without a renewal of the lease, in ms.
     #[serde(default = "default_worker_lease_ms")]
     pub worker_lease_ms: u64,
-    /// How long a worker may hold a poll back.
+    /// How long a worker may delay its answer to a poll, in ms.
     #[serde(default = "default_worker_poll_ms")]
     pub worker_poll_ms: u64,
-    /// How old a confirmation of the configuration may be before the daemon
-    /// starts nothing new.
+    /// Maximum age of the last confirmation of the configuration, in ms. With an older
+    /// one the daemon starts nothing new.
     #[serde(default = "default_configuration_bound_ms")]
     pub configuration_bound_ms: u64,
-    /// How often the platform's list of VMs is read.
+    /// Interval at which the platform's list of VMs is read, in ms.
     #[serde(default = "default_list_ms")]
     pub list_ms: u64,
-    /// Largest payload of a submission.
+    /// Maximum size of a submission's payload.
     #[serde(default = "default_max_payload_bytes")]
     pub max_payload_bytes: usize,
 }
@@ -92,12 +92,12 @@
     64 << 10
 }
 
-/// One thing wrong with a settings file.
+/// A problem in a settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsProblem {
-    /// Line in the file, from 1; 0 when the file as a whole is meant.
+    /// Line in the file, from 1; 0 if the problem has no line.
     pub line: usize,
-    /// The field, if one is meant.
+    /// The field, or the path of a file that cannot be read.
     pub field: String,
     /// What is wrong and what to write instead.
     pub remedy: String,
@@ -110,11 +110,11 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Every problem that was found, with line, field and remedy.
+    /// Returns every problem that was found, with line, field and remedy.
     pub fn read(path: &Path) -> Result<Self, Vec<SettingsProblem>> {
         let text = std::fs::read_to_string(path).map_err(|error| {
             vec![SettingsProblem {
@@ -126,11 +126,11 @@
         Self::parse(&text)
     }
 
-    /// Reads and checks a text.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Every problem that was found, with line, field and remedy.
+    /// Returns every problem that was found, with line, field and remedy.
     pub fn parse(text: &str) -> Result<Self, Vec<SettingsProblem>> {
         let settings: Self = toml::from_str(text).map_err(|error| {
             let line = error.span().map_or(0, |span| line_at(text, span.start));
@@ -155,7 +155,7 @@
             .bootstrap_operator_sha256
             .as_ref()
             .is_some_and(|digest| digest.len() != SHA256_HEX_LENGTH);
-        let wrong = [
+        let checks = [
             (self.daemon.is_empty(), "daemon", "write the VM's name"),
             (
                 self.data_centre.is_empty(),
@@ -189,9 +189,9 @@
                 "write at most half of worker_lease_ms, so that one lost poll ends no task",
             ),
         ];
-        wrong
+        checks
             .into_iter()
-            .filter(|(wrong, _, _)| *wrong)
+            .filter(|(is_wrong, _, _)| *is_wrong)
             .map(|(_, field, remedy)| SettingsProblem {
                 line: line_of(text, field),
                 field: field.to_owned(),
@@ -207,11 +207,13 @@
 
 fn line_of(text: &str, field: &str) -> usize {
     let starts = |line: &str| line.trim_start().starts_with(field);
-    text.lines().position(starts).map_or(0, |at| at + 1)
+    text.lines().position(starts).map_or(0, |index| index + 1)
 }
 
 fn field_on(text: &str, line: usize) -> String {
-    let found = line.checked_sub(1).and_then(|at| text.lines().nth(at));
+    let found = line
+        .checked_sub(1)
+        .and_then(|index| text.lines().nth(index));
     let name = found.and_then(|line| line.split('=').next());
     name.unwrap_or_default().trim().to_owned()
 }
--- a/src/daemon/status.rs
+++ b/src/daemon/status.rs
@@ -1,4 +1,4 @@
-//! What the threads of a daemon share: small facts, read often.
+//! State that the threads of a daemon share: small values that are read often.
 
 use crate::config::Configuration;
 use std::sync::atomic::{
@@ -13,7 +13,7 @@
     RwLock, //
 };
 
-/// The shared facts of one daemon.
+/// The shared state of one daemon.
 #[derive(Debug, Default)]
 pub struct Status {
     configuration: RwLock<Option<Arc<Configuration>>>,
@@ -38,8 +38,8 @@
         self.configuration().map_or(0, |c| c.version)
     }
 
-    /// Puts a version in force; says whether it is newer than the one before.
-    /// A version never gives way to an older one.
+    /// Puts a version in force if it is newer than the current one, and returns whether
+    /// it is. An older version never replaces a newer one.
     pub fn put_in_force(&self, configuration: Arc<Configuration>) -> bool {
         let current = self.configuration.write();
         let mut current = current.unwrap_or_else(PoisonError::into_inner);
@@ -52,12 +52,12 @@
         newer
     }
 
-    /// When the version in force was last known to be the current one.
+    /// When the version in force was last confirmed to be the latest, in ms.
     pub fn confirmed_ms(&self) -> u64 {
         self.confirmed_ms.load(Ordering::Acquire)
     }
 
-    /// Notes a confirmation.
+    /// Records a confirmation of the version in force at `at_ms`.
     pub fn confirm(&self, at_ms: u64) {
         self.confirmed_ms.fetch_max(at_ms, Ordering::AcqRel);
     }
@@ -67,17 +67,17 @@
         self.owner_epoch.load(Ordering::Acquire)
     }
 
-    /// Notes the ownership.
+    /// Records the epoch of the ownership; 0 if this daemon is not the owner.
     pub fn set_owner_epoch(&self, epoch: u64) {
         self.owner_epoch.store(epoch, Ordering::Release);
     }
 
-    /// Whether the daemon drains.
+    /// Whether the daemon is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Notes that the daemon drains.
+    /// Marks the daemon as draining.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Release);
     }
@@ -87,17 +87,17 @@
         self.handed_over.load(Ordering::Acquire)
     }
 
-    /// Notes whether the ownership is handed over.
+    /// Records whether the ownership is handed over.
     pub fn set_handed_over(&self, handed_over: bool) {
         self.handed_over.store(handed_over, Ordering::Release);
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::Acquire)
     }
 
-    /// Counts a request in; it counts out when the guard is dropped.
+    /// Counts a request as in progress until the returned guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
         self.requests.fetch_add(1, Ordering::AcqRel);
         RequestGuard {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Counts one request as in progress while it lives.
+/// Counts one request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct RequestGuard {
     status: Arc<Status>,
--- a/src/daemon/traffic.rs
+++ b/src/daemon/traffic.rs
@@ -1,4 +1,4 @@
-//! Carries the owner's calls to the store and to workers.
+//! Executes the owner's actions: calls to the store and to workers.
 
 use super::control::Control;
 use crate::backend::{
@@ -15,10 +15,11 @@
     mpsc, //
 };
 
-/// Worker calls under way at a time; a wave of cancellations waits here.
+/// Maximum number of worker calls in flight. Further calls, for instance of many
+/// cancellations at once, wait.
 const MAX_WORKER_CALLS: usize = 256;
 
-/// Carries out actions until the control thread ends.
+/// Executes actions until the control thread ends, and sends their results to it.
 pub async fn run(
     mut actions: mpsc::UnboundedReceiver<Action>,
     store: Store,
@@ -33,7 +34,7 @@
                 let store = store.clone();
                 actix_rt::spawn(async move {
                     let result = store.call(request).await;
-                    control.event(Event::Store { call, result }).await;
+                    control.send_event(Event::Store { call, result }).await;
                 });
             }
             Action::Worker {
@@ -48,7 +49,7 @@
                     let permit = permits.acquire().await;
                     let result = workers.call(address, request).await;
                     drop(permit);
-                    control.event(Event::Worker { call, result }).await;
+                    control.send_event(Event::Worker { call, result }).await;
                 });
             }
             Action::Reply { .. } => {}
--- a/src/daemon/watch.rs
+++ b/src/daemon/watch.rs
@@ -1,4 +1,5 @@
-//! Learning new versions of the configuration.
+//! Learns new versions of the configuration, either through the owner or by watching
+//! the store.
 
 use super::configuration::{
     CONFIGURATION_KEY,
@@ -19,38 +20,41 @@
 use crate::timer::Timer;
 use std::sync::Arc;
 
-const WATCH_MS: u64 = 2_000;
+/// How long the store may delay its answer to a watch.
+const WATCH_WAIT_MS: u64 = 2_000;
 const RETRY_MS: u64 = 500;
 const MAX_RETRY_MS: u64 = 4_000;
-const RELAY_CHECK_MS: u64 = 250;
-/// A relayed confirmation older than this is replaced by a watch of one's own.
-const RELAY_BOUND_MS: u64 = 3_500;
+/// How often a daemon that relies on the owner checks whether it still can.
+const RELAY_CHECK_INTERVAL_MS: u64 = 250;
+/// A daemon whose last confirmation is older than this watches the store itself instead
+/// of relying on the owner.
+const RELAY_MAX_AGE_MS: u64 = 3_500;
 
-/// What the watch needs.
+/// Follows the configuration for one daemon.
 pub struct Watch {
     /// The store.
     pub store: Store,
     /// The timer service.
     pub timer: Timer,
-    /// Shared facts.
+    /// State that the daemon's threads share.
     pub status: Arc<Status>,
-    /// Who lives.
+    /// The daemons and VMs known to this daemon.
     pub directory: Arc<Directory>,
     /// The control thread.
     pub control: Control,
-    /// The peers.
+    /// The connections to peers.
     pub peers: Peers,
-    /// Rely on the owner's word while it is fresh.
+    /// Whether to rely on the owner's heartbeats while they confirm the configuration.
     pub relay: bool,
 }
 
 impl Watch {
-    /// Follows the configuration until the process ends.
+    /// Follows the configuration. Does not return.
     pub async fn run(self) {
         let mut failures = 0;
         loop {
-            if self.relayed() {
-                self.timer.sleep(RELAY_CHECK_MS).await;
+            if self.is_relayed() {
+                self.timer.sleep(RELAY_CHECK_INTERVAL_MS).await;
                 continue;
             }
             match self.watch_once().await {
@@ -64,20 +68,21 @@
         }
     }
 
-    /// Whether another daemon, the owner, follows the store for this one.
-    fn relayed(&self) -> bool {
+    /// Returns whether this daemon can rely on the owner to follow the store.
+    fn is_relayed(&self) -> bool {
         let now_ms = self.timer.now_ms();
         self.relay
             && self.status.owner_epoch() == 0
-            && self.status.confirmed_ms() + RELAY_BOUND_MS > now_ms
+            && self.status.confirmed_ms() + RELAY_MAX_AGE_MS > now_ms
             && self.directory.owner(now_ms).is_some()
     }
 
+    /// Waits for one answer of the store and returns whether it could be used.
     async fn watch_once(&self) -> bool {
         let version = self.status.configuration_version();
-        // Before the first version is known there is nothing to wait for.
+        // Before the first version is known there is no change to wait for.
         let wait_ms = match self.status.configuration() {
-            Some(_) => WATCH_MS,
+            Some(_) => WATCH_WAIT_MS,
             None => 0,
         };
         let asked_ms = self.timer.now_ms();
@@ -96,8 +101,9 @@
         };
         let newer = configuration.version > version;
         put_in_force(&self.status, &self.control, configuration).await;
-        // The service held the answer back until now, so it was current then;
-        // an answer that came early is counted from when it was asked for.
+        // If there is no newer version, the store delayed its answer by `wait_ms`, so the
+        // version in force was the latest until then. A newer version may have been read
+        // any time after the request, so it is confirmed only as of the request.
         let confirmed_ms = match newer {
             true => asked_ms,
             false => asked_ms.max(self.timer.now_ms().min(asked_ms + wait_ms)),
@@ -106,9 +112,9 @@
         let confirmed = Event::ConfigurationConfirmed {
             asked_ms: confirmed_ms,
         };
-        self.control.event(confirmed).await;
+        self.control.send_event(confirmed).await;
         if newer {
-            self.peers.tell_peers(self.timer.now_ms());
+            self.peers.send_heartbeat(self.timer.now_ms());
         }
         true
     }
--- a/src/daemon/worker_monitor.rs
+++ b/src/daemon/worker_monitor.rs
@@ -1,5 +1,5 @@
-//! The worker monitor: renews the leases of a share of the workers and tells the owner
-//! what changed there.
+//! Polls a share of the workers, which renews their leases, and reports their changes to
+//! the owner.
 
 use super::directory::Directory;
 use super::peer::Peers;
@@ -19,11 +19,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-const REVIEW_MS: u64 = 1_000;
+/// How often this daemon determines its share of the workers.
+const SHARE_INTERVAL_MS: u64 = 1_000;
 const RETRY_MS: u64 = 1_000;
 const DELIVERY_RETRY_MS: u64 = 200;
-/// Failed polls before the owner is told.
-const SILENT_AFTER: u32 = 2;
+/// Failed polls in a row after which a worker is reported as unresponsive.
+const UNRESPONSIVE_AFTER: u32 = 2;
 
 /// Polls a share of the workers; lives on the traffic thread.
 #[derive(Clone)]
@@ -39,23 +40,26 @@
     peers: Peers,
     poll_ms: u64,
     lease_ms: u64,
-    kept: RefCell<HashSet<String>>,
+    /// Names of the workers in this daemon's share.
+    monitored: RefCell<HashSet<String>>,
 }
 
 /// What the monitor knows of one worker.
 #[derive(Default)]
-struct Watched {
+struct WorkerState {
     cursor: u64,
     incarnation: Option<u64>,
     leaving: bool,
-    /// Epoch of the owner that was told of the worker.
-    told_epoch: u64,
+    /// Epoch of the owner to which the worker was last reported; 0 for none.
+    reported_epoch: u64,
+    /// Failed polls since the last answer.
     failures: u32,
-    seen_ms: u64,
+    /// When the worker last answered, or when monitoring began.
+    last_answer_ms: u64,
 }
 
 impl WorkerMonitor {
-    /// A monitor without any workers yet.
+    /// Creates a monitor without workers.
     pub fn open(
         workers: Workers,
         timer: Timer,
@@ -74,41 +78,42 @@
                 peers,
                 poll_ms,
                 lease_ms,
-                kept: RefCell::default(),
+                monitored: RefCell::default(),
             }),
         }
     }
 
-    /// Keeps this daemon's share of the workers until the process ends.
+    /// Monitors this daemon's share of the workers. Does not return.
     pub async fn run(self) {
         loop {
             let now_ms = self.shared.timer.now_ms();
             let draining = self.shared.status.is_draining();
-            let share = self.shared.directory.kept_workers(now_ms, draining);
+            let share = self.shared.directory.monitored_workers(now_ms, draining);
             let names: HashSet<String> = share.iter().map(|vm| vm.name.clone()).collect();
-            let before = self.shared.kept.replace(names);
+            let before = self.shared.monitored.replace(names);
             for vm in share {
                 if !before.contains(&vm.name) {
-                    actix_rt::spawn(self.clone().keep(vm));
+                    actix_rt::spawn(self.clone().monitor(vm));
                 }
             }
-            self.shared.timer.sleep(REVIEW_MS).await;
+            self.shared.timer.sleep(SHARE_INTERVAL_MS).await;
         }
     }
 
-    fn keeps(&self, worker: &str) -> bool {
-        self.shared.kept.borrow().contains(worker)
+    fn is_monitored(&self, worker: &str) -> bool {
+        self.shared.monitored.borrow().contains(worker)
     }
 
-    async fn keep(self, vm: VmRecord) {
-        let mut watched = Watched {
-            seen_ms: self.shared.timer.now_ms(),
-            ..Watched::default()
+    /// Polls one worker until it leaves this daemon's share.
+    async fn monitor(self, vm: VmRecord) {
+        let mut state = WorkerState {
+            last_answer_ms: self.shared.timer.now_ms(),
+            ..WorkerState::default()
         };
-        while self.keeps(&vm.name) {
+        while self.is_monitored(&vm.name) {
             let poll = WorkerCall::Poll {
-                cursor: watched.cursor,
-                wait_ms: match watched.incarnation {
+                cursor: state.cursor,
+                wait_ms: match state.incarnation {
                     Some(_) => self.shared.poll_ms,
                     None => 0,
                 },
@@ -117,22 +122,23 @@
             let sent_ms = self.shared.timer.now_ms();
             match self.shared.workers.call(vm.address.clone(), poll).await {
                 Ok(WorkerAnswer::Polled(answer)) => {
-                    watched.seen_ms = self.shared.timer.now_ms();
-                    watched.failures = 0;
-                    self.take(&vm.name, &mut watched, answer).await;
+                    state.last_answer_ms = self.shared.timer.now_ms();
+                    state.failures = 0;
+                    self.handle_answer(&vm.name, &mut state, answer).await;
                 }
-                _ => self.failed(&vm.name, &mut watched, sent_ms).await,
+                _ => self.handle_failure(&vm.name, &mut state, sent_ms).await,
             }
         }
     }
 
-    /// Tells the owner; the cursor moves on only when an owner has taken the
-    /// news in, so that the death of either loses none.
-    async fn take(&self, worker: &str, watched: &mut Watched, answer: PollAnswer) {
-        let restarted = watched.incarnation != Some(answer.incarnation);
+    /// Reports a worker's answer to the owner. The cursor advances only once an owner has
+    /// handled the changes, so that a crash of this daemon or of the owner loses none.
+    async fn handle_answer(&self, worker: &str, state: &mut WorkerState, answer: PollAnswer) {
+        let restarted = state.incarnation != Some(answer.incarnation);
         let epoch = self.owner_epoch();
-        let tell = restarted || watched.leaving != answer.leaving || watched.told_epoch != epoch;
-        if tell {
+        let should_report =
+            restarted || state.leaving != answer.leaving || state.reported_epoch != epoch;
+        if should_report {
             let seen = WorkerUpdate::Seen {
                 incarnation: answer.incarnation,
                 leaving: answer.leaving,
@@ -149,12 +155,13 @@
                 return;
             }
         }
-        watched.incarnation = Some(answer.incarnation);
-        watched.leaving = answer.leaving;
-        watched.told_epoch = epoch;
-        watched.cursor = answer.cursor;
+        state.incarnation = Some(answer.incarnation);
+        state.leaving = answer.leaving;
+        state.reported_epoch = epoch;
+        state.cursor = answer.cursor;
     }
 
+    /// Returns the epoch of the owner that this daemon knows, or 0.
     fn owner_epoch(&self) -> u64 {
         let own = self.shared.status.owner_epoch();
         let now_ms = self.shared.timer.now_ms();
@@ -162,16 +169,16 @@
         own.max(other.map_or(0, |(_, heartbeat, _)| heartbeat.owner_epoch))
     }
 
-    async fn failed(&self, worker: &str, watched: &mut Watched, sent_ms: u64) {
-        watched.failures += 1;
+    async fn handle_failure(&self, worker: &str, state: &mut WorkerState, sent_ms: u64) {
+        state.failures += 1;
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "poll_silent").increment(1);
-        if watched.failures >= SILENT_AFTER {
-            let silent_ms = sent_ms.saturating_sub(watched.seen_ms);
+        if state.failures >= UNRESPONSIVE_AFTER {
+            let silent_ms = sent_ms.saturating_sub(state.last_answer_ms);
             self.deliver(worker, WorkerUpdate::Silent { silent_ms })
                 .await;
-            // The worker is announced again when it answers.
-            watched.told_epoch = 0;
-            watched.incarnation = None;
+            // The worker is reported again when it next answers.
+            state.reported_epoch = 0;
+            state.incarnation = None;
         }
         self.shared.timer.sleep(RETRY_MS).await;
     }
