--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,4 +1,4 @@
-//! Figures of one daemon on loopback with 50 stand-in workers of 8 slots.
+//! Measures one daemon on loopback with 50 stand-in workers of 8 slots.
 //!
 //! `cargo bench --bench path` prints lines `figure NAME VALUE`.
 
@@ -41,6 +41,7 @@
     platform.with_store(|store| store.calls.get("compare_and_swap").copied().unwrap_or(0))
 }
 
+/// Measures the control traffic and processor time of an idle daemon.
 async fn idle(timer: &Timer) {
     let (bytes, cpu_ms) = (loopback_bytes(), thread_cpu_ms(&DAEMON_THREADS));
     timer.sleep(IDLE_MS).await;
@@ -51,51 +52,56 @@
     figure("control_cpu_percent", 100.0 * cpu_ms / IDLE_MS as f64);
 }
 
-/// Urgent jobs one after another, as mechanics come to the counter: from the
-/// caller's request to the begin of the task.
+/// Measures the time from a caller's request to the start of its task, for urgent jobs
+/// that arrive one after another.
 async fn urgent_starts(caller: &Client, platform: &Platform, timer: &Timer) {
-    let mut waiting = Vec::new();
-    for at in 0..STEADY_JOBS {
+    let mut submissions = Vec::new();
+    for index in 0..STEADY_JOBS {
         let caller = caller.clone();
-        let asked_ms = timer.now_ms();
-        waiting.push(actix_rt::spawn(async move {
-            let key = format!("steady-{at}");
+        let requested_ms = timer.now_ms();
+        submissions.push(actix_rt::spawn(async move {
+            let key = format!("steady-{index}");
             let response = caller.submit(&key, &urgent(200, &key), 10_000).await;
-            (asked_ms, response.ok().and_then(|response| response.job))
+            (
+                requested_ms,
+                response.ok().and_then(|response| response.job),
+            )
         }));
         timer.sleep(STEADY_GAP_MS).await;
     }
-    let mut asked: HashMap<u64, u64> = HashMap::new();
-    for job in waiting {
-        if let Ok((asked_ms, Some(name))) = job.await
+    let mut requested: HashMap<u64, u64> = HashMap::new();
+    for job in submissions {
+        if let Ok((requested_ms, Some(name))) = job.await
             && let Some((_, id)) = read_public_name(&name)
         {
-            asked.insert(id.0, asked_ms);
+            requested.insert(id.0, requested_ms);
         }
     }
     let mut waits_ms = Vec::new();
     platform.each_worker(|worker| {
         for run in &worker.runs {
-            if let Some(asked_ms) = asked.get(&run.attempt.job.0) {
-                waits_ms.push(run.began_ms.saturating_sub(*asked_ms));
+            if let Some(requested_ms) = requested.get(&run.attempt.job.0) {
+                waits_ms.push(run.began_ms.saturating_sub(*requested_ms));
             }
         }
     });
-    assert_eq!(waits_ms.len(), STEADY_JOBS, "every urgent job began once");
+    assert_eq!(waits_ms.len(), STEADY_JOBS, "every urgent job starts once");
     figure("urgent_start_p50_ms", percentile(&waits_ms, 0.5));
     figure("urgent_start_p99_ms", percentile(&waits_ms, 0.99));
 }
 
+/// Measures the throughput and the store's writes under `BURST_CALLERS` callers, each of
+/// which submits its next job as soon as the last one is answered.
 async fn burst(caller: &Client, platform: &Platform, timer: &Timer) {
     let writes = store_writes(platform);
     let until_ms = timer.now_ms() + BURST_MS;
     let callers: Vec<_> = (0..BURST_CALLERS)
-        .map(|at| {
+        .map(|index| {
             let (caller, timer) = (caller.clone(), timer.clone());
             actix_rt::spawn(async move {
                 let mut answered = 0u64;
                 while timer.now_ms() < until_ms {
-                    let key = format!("burst-{at}-{answered}");
+                    let key = format!("burst-{index}-{answered}");
                     let response = caller.submit(&key, &urgent(1, &key), 10_000).await;
                     answered += u64::from(response.is_ok_and(|response| response.job.is_some()));
                 }
@@ -131,7 +137,7 @@
     idle(&timer).await;
     urgent_starts(&caller, &platform, &timer).await;
     burst(&caller, &platform, &timer).await;
-    // The whole process, stand-ins and callers included: an upper bound.
+    // An upper bound: this is the whole process, including stand-ins and callers.
     figure("daemon_rss_mb", rss_mb());
 }
 
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -1,4 +1,4 @@
-//! Figures of many daemons under failures, on loopback with stand-ins.
+//! Measures many daemons under failures, on loopback with stand-ins.
 //!
 //! `cargo bench --bench recovery` prints lines `figure NAME VALUE`.
 
@@ -39,28 +39,29 @@
 const PATCHES: u64 = 40;
 const DAEMONS_PER_DATA_CENTRE: usize = 9;
 const SETTLE_MS: u64 = 4_000;
-/// A whole number of polls of either length, which all begin together.
+/// A multiple of both poll lengths, since all polls begin at the same time.
 const CONTROL_MS: u64 = 50_000;
 const POLL_MS: u64 = 10_000;
 const LONG_POLL_MS: u64 = 25_000;
 const DAEMON_THREADS: [&str; 4] = ["control", "traffic", "timer", "http"];
 
+/// Returns when the first run after `since_ms` began, in ms.
 fn first_start_after(platform: &Platform, since_ms: u64) -> Option<u64> {
     let mut first: Option<u64> = None;
     platform.each_worker(|worker| {
-        let begins = worker.runs.iter().map(|run| run.began_ms);
-        let earliest = begins.filter(|&at_ms| at_ms > since_ms).min();
+        let starts = worker.runs.iter().map(|run| run.began_ms);
+        let earliest = starts.filter(|&at_ms| at_ms > since_ms).min();
         first = [first, earliest].into_iter().flatten().min();
     });
     first
 }
 
-/// Kills the owner under a steady flow of jobs; from its death to the first
-/// task that a new owner starts.
+/// Kills the owner under a steady flow of jobs and measures the time until a new owner
+/// starts the first task.
 async fn failover(timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, 12)]).expect("a port");
     let mut daemons: Vec<Daemon> = Vec::new();
-    let start = |at: usize| daemon(&format!("d{at}"), DATA_CENTRE, &platform, timer, |_| {});
+    let start = |index: usize| daemon(&format!("d{index}"), DATA_CENTRE, &platform, timer, |_| {});
     daemons.extend((0..3).map(start));
     apply(
         &client(&daemons[0], OPERATOR_TOKEN, timer),
@@ -69,25 +70,25 @@
     )
     .await;
     warm_up(&client(&daemons[0], CALLER_TOKEN, timer), timer).await;
-    let (mut included, mut excluded) = (Vec::new(), Vec::new());
+    let (mut failover_ms, mut after_takeover_ms) = (Vec::new(), Vec::new());
     for round in 0..FAILOVERS {
         timer.sleep(SETTLE_MS).await;
         let Some(owner) = daemons.iter().position(Daemon::is_owner) else {
             continue;
         };
         let killed = daemons.remove(owner);
-        // The dead daemon stays on the list, which lags.
+        // The killed daemon stays on the platform's list, as on a list that lags.
         let killed_ms = timer.now_ms();
         killed.kill();
-        let flow = Rc::new(Cell::new(true));
-        for (at, survivor) in daemons.iter().enumerate() {
+        let keep_submitting = Rc::new(Cell::new(true));
+        for (index, survivor) in daemons.iter().enumerate() {
             let caller = client(survivor, CALLER_TOKEN, timer);
-            let (timer, flow) = (timer.clone(), flow.clone());
+            let (timer, keep_submitting) = (timer.clone(), keep_submitting.clone());
             actix_rt::spawn(async move {
                 let mut turn = 0;
-                while flow.get() {
+                while keep_submitting.get() {
                     turn += 1;
-                    let key = format!("failover-{round}-{at}-{turn}");
+                    let key = format!("failover-{round}-{index}-{turn}");
                     // A refusal while nobody owns the data centre is expected.
                     let _ = caller.submit(&key, &urgent(1, &key), 5_000).await;
                     timer.sleep(10).await;
@@ -100,15 +101,15 @@
             if owned_ms.is_none() && daemons.iter().any(Daemon::is_owner) {
                 owned_ms = Some(timer.now_ms());
             }
-            // What the dead owner had sent on its way begins within 100 ms.
+            // Tasks whose start the killed owner had already sent begin within 100 ms.
             if let Some(at_ms) = first_start_after(&platform, killed_ms + 100) {
                 break at_ms;
             }
             assert!(timer.now_ms() < killed_ms + 30_000, "no new owner in 30 s");
         };
-        flow.set(false);
-        included.push(started_ms - killed_ms);
-        excluded.push(started_ms.saturating_sub(owned_ms.unwrap_or(started_ms)));
+        keep_submitting.set(false);
+        failover_ms.push(started_ms - killed_ms);
+        after_takeover_ms.push(started_ms.saturating_sub(owned_ms.unwrap_or(started_ms)));
         daemons.push(daemon(
             &format!("d{}", 10 + round),
             DATA_CENTRE,
@@ -117,11 +118,11 @@
             |_| {},
         ));
     }
-    figure("owner_failover_p50_ms", percentile(&included, 0.5));
-    figure("owner_failover_p99_ms", percentile(&included, 0.99));
+    figure("owner_failover_p50_ms", percentile(&failover_ms, 0.5));
+    figure("owner_failover_p99_ms", percentile(&failover_ms, 0.99));
     figure(
         "owner_failover_after_lease_p99_ms",
-        percentile(&excluded, 0.99),
+        percentile(&after_takeover_ms, 0.99),
     );
     daemons.iter().for_each(Daemon::kill);
 }
@@ -130,17 +131,19 @@
     platform.with_store(|store| store.calls.values().sum())
 }
 
-/// Patches one after another through changing daemons; from acceptance to the
-/// last daemon that has the version in force.
+/// Submits patches one after another through different daemons and measures the time
+/// from the acceptance of each until every daemon has its version in force.
 async fn patches(data_centres: usize, relay: bool, timer: &Timer) {
-    let names: Vec<String> = (0..data_centres).map(|at| format!("dc{at}")).collect();
+    let names: Vec<String> = (0..data_centres)
+        .map(|index| format!("dc{index}"))
+        .collect();
     let fleets: Vec<_> = names.iter().map(|name| fleet(name, 2)).collect();
     let platform = Platform::spawn(timer.clone(), &fleets).expect("a port");
     let mut daemons = Vec::new();
     for name in &names {
-        for at in 0..DAEMONS_PER_DATA_CENTRE {
+        for index in 0..DAEMONS_PER_DATA_CENTRE {
             let daemon = daemon(
-                &format!("{name}-{at}"),
+                &format!("{name}-{index}"),
                 name,
                 &platform,
                 timer,
@@ -151,10 +154,10 @@
             daemons.push(daemon);
         }
     }
-    let places: Vec<&str> = names.iter().map(String::as_str).collect();
+    let data_centre_names: Vec<&str> = names.iter().map(String::as_str).collect();
     apply(
         &client(&daemons[0], OPERATOR_TOKEN, timer),
-        &first_patch(&places),
+        &first_patch(&data_centre_names),
         timer,
     )
     .await;
@@ -177,8 +180,8 @@
     let (calls, since_ms) = (store_calls(&platform), timer.now_ms());
     let mut waits_ms = Vec::new();
     for base_version in 1..=PATCHES {
-        let through = &daemons[base_version as usize * 7 % daemons.len()];
-        let operator = client(through, OPERATOR_TOKEN, timer);
+        let submitted_to = &daemons[base_version as usize * 7 % daemons.len()];
+        let operator = client(submitted_to, OPERATOR_TOKEN, timer);
         apply(&operator, &next_patch(base_version), timer).await;
         let accepted_ms = timer.now_ms();
         while daemons
@@ -194,7 +197,7 @@
         waits_ms.push(timer.now_ms() - accepted_ms);
     }
     let seconds = (timer.now_ms() - since_ms) as f64 / MS_PER_S;
-    let storm = store_calls(&platform) - calls;
+    let patch_calls = store_calls(&platform) - calls;
     figure(
         &format!("patch_in_force_p50_ms_{prefix}"),
         percentile(&waits_ms, 0.5),
@@ -205,26 +208,34 @@
     );
     figure(
         &format!("store_calls_per_patch_{prefix}"),
-        storm as f64 / PATCHES as f64,
+        patch_calls as f64 / PATCHES as f64,
     );
     figure(
         &format!("store_calls_per_s_storm_{prefix}"),
-        storm as f64 / seconds,
+        patch_calls as f64 / seconds,
     );
     daemons.iter().for_each(Daemon::kill);
     timer.sleep(500).await;
 }
 
-/// Bytes and processor time of control work, for each of `daemons` daemons
+/// Measures the bytes and processor time of control work for each of `count` daemons
 /// that share `workers` workers.
 async fn control(workers: usize, count: usize, poll_ms: u64, timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, workers)]).expect("a port");
-    let polling = |settings: &mut Settings| {
+    let set_polling = |settings: &mut Settings| {
         settings.worker_poll_ms = poll_ms;
         settings.worker_lease_ms = poll_ms * 3;
     };
     let daemons: Vec<Daemon> = (0..count)
-        .map(|at| daemon(&format!("d{at}"), DATA_CENTRE, &platform, timer, polling))
+        .map(|index| {
+            daemon(
+                &format!("d{index}"),
+                DATA_CENTRE,
+                &platform,
+                timer,
+                set_polling,
+            )
+        })
         .collect();
     apply(
         &client(&daemons[0], OPERATOR_TOKEN, timer),
@@ -250,15 +261,15 @@
     timer.sleep(500).await;
 }
 
-/// Replaces every daemon under load by draining it, while callers go from one
-/// to the next as the balancer would send them.
+/// Replaces every daemon under load by draining it, while callers use the daemons in
+/// turn, as the load balancer would make them.
 async fn rolling_replacement(timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, 12)]).expect("a port");
-    let start = |at: usize| daemon(&format!("d{at}"), DATA_CENTRE, &platform, timer, |_| {});
+    let start = |index: usize| daemon(&format!("d{index}"), DATA_CENTRE, &platform, timer, |_| {});
     let daemons: Rc<RefCell<Vec<Rc<Daemon>>>> = Rc::default();
     daemons
         .borrow_mut()
-        .extend((0..3).map(|at| Rc::new(start(at))));
+        .extend((0..3).map(|index| Rc::new(start(index))));
     let first = daemons.borrow()[0].clone();
     apply(
         &client(&first, OPERATOR_TOKEN, timer),
@@ -267,20 +278,23 @@
     )
     .await;
     warm_up(&client(&first, CALLER_TOKEN, timer), timer).await;
-    let flow = Rc::new(Cell::new(true));
+    let keep_submitting = Rc::new(Cell::new(true));
     let callers: Vec<_> = (0..16)
-        .map(|at| {
-            let (daemons, timer, flow) = (daemons.clone(), timer.clone(), flow.clone());
-            actix_rt::spawn(async move { steady_caller(at, daemons, timer, flow).await })
+        .map(|index| {
+            let (daemons, timer, keep_submitting) =
+                (daemons.clone(), timer.clone(), keep_submitting.clone());
+            actix_rt::spawn(
+                async move { steady_caller(index, daemons, timer, keep_submitting).await },
+            )
         })
         .collect();
     for round in 0..3 {
         timer.sleep(SETTLE_MS).await;
-        let fresh = Rc::new(start(20 + round));
+        let replacement = Rc::new(start(20 + round));
         timer.sleep(SETTLE_MS).await;
         let old = {
             let mut daemons = daemons.borrow_mut();
-            daemons.push(fresh);
+            daemons.push(replacement);
             daemons.remove(0)
         };
         old.drain();
@@ -290,37 +304,37 @@
         old.kill();
     }
     timer.sleep(SETTLE_MS).await;
-    flow.set(false);
+    keep_submitting.set(false);
     let (mut answered, mut lost) = (0, 0);
     for caller in callers {
         let (ok, missing) = caller.await.unwrap_or((0, 1));
         answered += ok;
         lost += missing;
     }
-    let mut begun: HashMap<u64, u32> = HashMap::new();
+    let mut runs_by_job: HashMap<u64, u32> = HashMap::new();
     platform.each_worker(|worker| {
         for run in &worker.runs {
-            *begun.entry(run.attempt.job.0).or_default() += 1;
+            *runs_by_job.entry(run.attempt.job.0).or_default() += 1;
         }
     });
-    let doubled = begun.values().filter(|&&runs| runs > 1).count();
+    let doubled = runs_by_job.values().filter(|&&runs| runs > 1).count();
     figure("rolling_replacement_answered", f64::from(answered));
     figure("rolling_replacement_lost", f64::from(lost));
     figure("rolling_replacement_doubled", doubled as f64);
     daemons.borrow().iter().for_each(|daemon| daemon.kill());
 }
 
-/// Submits jobs that run at most once, one after another; a job counts as lost
-/// if its key has no answer in 20 s.
+/// Submits jobs that run at most once, one after another. Returns how many were answered
+/// and how many were lost: a job counts as lost if its key has no answer in 20 s.
 async fn steady_caller(
-    at: usize,
+    index: usize,
     daemons: Rc<RefCell<Vec<Rc<Daemon>>>>,
     timer: Timer,
-    flow: Rc<Cell<bool>>,
+    keep_submitting: Rc<Cell<bool>>,
 ) -> (u32, u32) {
-    let (mut answered, mut lost, mut turn) = (0, 0, at);
-    while flow.get() {
-        let key = format!("rolling-{at}-{turn}");
+    let (mut answered, mut lost, mut turn) = (0, 0, index);
+    while keep_submitting.get() {
+        let key = format!("rolling-{index}-{turn}");
         let until_ms = timer.now_ms() + 20_000;
         let mut name: Option<String> = None;
         loop {
@@ -352,7 +366,8 @@
     (answered, lost)
 }
 
-/// A worker says under load that it is leaving; the list says it much later.
+/// Measures for how long a worker under load still gets tasks after it reports that it
+/// is leaving. The platform's list reports this much later.
 async fn leaving(timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, 4)]).expect("a port");
     let owner = daemon("d0", DATA_CENTRE, &platform, timer, |_| {});
@@ -364,28 +379,28 @@
     .await;
     let caller = client(&owner, CALLER_TOKEN, timer);
     warm_up(&caller, timer).await;
-    let flow = Rc::new(Cell::new(true));
-    for at in 0..32 {
-        let (caller, flow) = (caller.clone(), flow.clone());
+    let keep_submitting = Rc::new(Cell::new(true));
+    for index in 0..32 {
+        let (caller, keep_submitting) = (caller.clone(), keep_submitting.clone());
         actix_rt::spawn(async move {
             let mut turn = 0;
-            while flow.get() {
+            while keep_submitting.get() {
                 turn += 1;
-                let key = format!("leaving-{at}-{turn}");
+                let key = format!("leaving-{index}-{turn}");
                 let _ = caller.submit(&key, &urgent(20, &key), 5_000).await;
             }
         });
     }
     timer.sleep(2_000).await;
     let name = format!("{DATA_CENTRE}-w0000");
-    let left_ms = timer.now_ms();
+    let leaving_ms = timer.now_ms();
     platform.with_worker(&name, |worker| worker.set_leaving(true));
     timer.sleep(5_000).await;
-    flow.set(false);
+    keep_submitting.set(false);
     let last_ms = platform
         .with_worker(&name, |worker| worker.last_start_ms)
         .flatten();
-    let after_ms = last_ms.unwrap_or(left_ms).saturating_sub(left_ms);
+    let after_ms = last_ms.unwrap_or(leaving_ms).saturating_sub(leaving_ms);
     figure("leaving_target_last_start_ms", after_ms as f64);
     owner.kill();
 }
@@ -395,24 +410,24 @@
     let only = std::env::args()
         .skip(1)
         .find(|argument| !argument.starts_with('-'));
-    let wanted = |name: &str| only.as_deref().is_none_or(|only| only == name);
+    let is_selected = |name: &str| only.as_deref().is_none_or(|only| only == name);
     actix_rt::System::new().block_on(async {
-        if wanted("failover") {
+        if is_selected("failover") {
             failover(&timer).await;
         }
-        if wanted("leaving") {
+        if is_selected("leaving") {
             leaving(&timer).await;
         }
-        if wanted("rolling") {
+        if is_selected("rolling") {
             rolling_replacement(&timer).await;
         }
-        if wanted("control") {
+        if is_selected("control") {
             control(50, 1, POLL_MS, &timer).await;
             control(500, 9, POLL_MS, &timer).await;
             control(1_000, 9, POLL_MS, &timer).await;
             control(1_000, 9, LONG_POLL_MS, &timer).await;
         }
-        if wanted("patches") {
+        if is_selected("patches") {
             for relay in [false, true] {
                 patches(1, relay, &timer).await;
                 patches(7, relay, &timer).await;
--- a/src/daemon/entry/mod.rs
+++ b/src/daemon/entry/mod.rs
@@ -120,6 +120,8 @@
         }
     }
 
+    /// Answers 200 while the configuration is confirmed to be current and the daemon does
+    /// not drain, else 503.
     fn ready(&self) -> Response<BoxBody> {
         let now_ms = self.shared.timer.now_ms();
         let bound_ms = self.shared.settings.configuration_bound_ms;
--- a/src/daemon/peer.rs
+++ b/src/daemon/peer.rs
@@ -126,6 +126,7 @@
         }
     }
 
+    /// Serves one incoming connection, which has to begin with a valid hello.
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut framed = Framed::new(stream, Framing::default());
@@ -224,6 +225,7 @@
         }
     }
 
+    /// Answers a request of another daemon.
     async fn answer(&self, request: RequestFrame) -> ReplyBody {
         let control = &self.shared.control;
         match request.body {
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP: bounds on silence, not on size.
+//! HTTP calls: the timeout bounds the time without progress, not the total time.
 
 use awc::http::{
     Method,
@@ -20,10 +20,11 @@
 const PIECES: usize = 12;
 const PIECE: &[u8] = b"0123456789";
 const PAUSE: Duration = Duration::from_millis(60);
-/// Bound on the beginning of an answer; the whole takes more than twice that.
-const LIMIT_MS: u64 = 300;
+/// Timeout of a call. The whole answer takes more than twice as long.
+const TIMEOUT_MS: u64 = 300;
 
-/// Answers one call with so many of the pieces that it announces.
+/// Starts a server that answers one call and returns its URL. The server announces
+/// `PIECES` pieces and sends the first `sent` of them.
 fn server(sent: usize) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -59,13 +60,13 @@
     let timer = Timer::spawn().expect("a timer");
     actix_rt::System::new().block_on(async move {
         let client = HttpClient::open(timer);
-        client.call(Method::GET, url, &[], None, LIMIT_MS).await
+        client.call(Method::GET, url, &[], None, TIMEOUT_MS).await
     })
 }
 
-/// A job that was refused ran all the same: the store had carried its writing
-/// out, and the connection was closed before the answer. The library reports
-/// that like a connection that was never opened.
+/// Guards against treating such a call as never sent. The HTTP library reports a
+/// connection that closes before the answer like one that was never opened. A job was
+/// refused for that reason although the store had executed its write, and the job ran.
 #[test]
 fn a_call_whose_connection_closes_before_the_answer_may_have_been_carried_out() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -92,18 +93,18 @@
     assert_eq!(failure, Some(CallFailure::NotSent));
 }
 
-/// Daemons on links of 10 Mbit/s answered 404 for queues that were there: the
-/// configuration, half a megabyte, took longer than the bound of a call, was
-/// cut and asked for anew for ever.
+/// Guards against a timeout on the whole call. On links of 10 Mbit/s the configuration,
+/// half a megabyte, took longer than the timeout: daemons aborted and repeated the call forever,
+/// and answered 404 for queues that existed.
 #[test]
-fn an_answer_that_goes_on_coming_may_take_long() {
+fn an_answer_that_keeps_arriving_may_take_longer_than_the_timeout() {
     let answer = call(server(PIECES));
 
     assert_eq!(answer, Some((StatusCode::OK, PIECES * PIECE.len())));
 }
 
 #[test]
-fn an_answer_that_stands_still_is_given_up() {
+fn an_answer_that_stops_arriving_is_given_up() {
     let answer = call(server(PIECES / 2));
 
     assert_eq!(answer, None);
--- a/tests/face.rs
+++ b/tests/face.rs
@@ -1,4 +1,5 @@
-//! The HTTP face and the peers' port under bad input, and draining.
+//! The HTTP API and the port for peers: invalid input, patches, draining and a store
+//! outage.
 
 mod support;
 
@@ -22,25 +23,25 @@
     small_job, //
 };
 
-/// Tasks that began for jobs of `marker`.
+/// Returns the number of runs of jobs with `marker`.
 fn runs_of(platform: &fuchsiaslip::standin::Platform, marker: &str) -> usize {
     let mut runs = 0;
     platform.each_worker(|worker| runs += worker.runs_of(marker));
     runs
 }
 
-fn raw(address: std::net::SocketAddr, request: &[u8]) -> String {
+fn send_raw(address: std::net::SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(request).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     let mut response = Vec::new();
-    // A connection that the daemon closes without a word is an answer too.
+    // The daemon may also close the connection without a response.
     let _ = stream.read_to_end(&mut response);
     String::from_utf8_lossy(&response).into_owned()
 }
 
 #[actix_rt::test]
-async fn bad_input_gets_a_typed_error_and_loses_nothing() {
+async fn invalid_requests_get_specific_errors_and_later_jobs_still_run() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 6);
     let daemon = daemon("d1", &platform, &timer);
@@ -58,8 +59,8 @@
     let mut oversized = small_job("standard", &task);
     oversized.payload = "x".repeat(200_000);
     let oversized = caller.submit("c", &oversized, 0).await.unwrap();
-    let stranger = client(&daemon, "nobody", &timer);
-    let stranger = stranger
+    let unknown_caller = client(&daemon, "nobody", &timer);
+    let unknown_caller = unknown_caller
         .submit("d", &small_job("standard", &task), 0)
         .await
         .unwrap();
@@ -78,7 +79,7 @@
     assert!(unknown_class.error().not_run);
     assert_eq!(impossible.error().error, "impossible_shape");
     assert_eq!(oversized.status, StatusCode::PAYLOAD_TOO_LARGE);
-    assert_eq!(stranger.status, StatusCode::UNAUTHORIZED);
+    assert_eq!(unknown_caller.status, StatusCode::UNAUTHORIZED);
     assert_eq!(no_key.error().error, "no_idempotency_key");
     assert_eq!(no_path.status, StatusCode::NOT_FOUND);
     assert_eq!(not_operator.status, StatusCode::FORBIDDEN);
@@ -98,11 +99,11 @@
     let http = daemon.http_address;
     let peer = daemon.peer_address;
 
-    let cut = actix_rt::task::spawn_blocking(move || raw(http, head.as_bytes()))
+    let truncated = actix_rt::task::spawn_blocking(move || send_raw(http, head.as_bytes()))
         .await
         .unwrap();
     let broken =
-        actix_rt::task::spawn_blocking(move || raw(peer, &[0, 0, 0, 4, 255, 255, 255, 255]));
+        actix_rt::task::spawn_blocking(move || send_raw(peer, &[0, 0, 0, 4, 255, 255, 255, 255]));
     let broken = broken.await.unwrap();
     let metrics = client(&daemon, "", &timer).get("metrics", 0).await.unwrap();
     let caller = client(&daemon, JADRAN_TOKEN, &timer);
@@ -110,7 +111,10 @@
         .submit("after", &small_job("standard", &TaskSpec::default()), 5_000)
         .await;
 
-    assert!(cut.is_empty() || cut.contains("truncated_body"), "{cut}");
+    assert!(
+        truncated.is_empty() || truncated.contains("truncated_body"),
+        "{truncated}"
+    );
     assert!(broken.is_empty());
     let text = String::from_utf8_lossy(&metrics.body).into_owned();
     assert!(text.contains("fuchsiaslip_peers_refused_total"), "{text}");
@@ -118,7 +122,7 @@
 }
 
 #[actix_rt::test]
-async fn patches_race_and_one_of_them_is_told_the_difference() {
+async fn the_second_of_two_patches_for_one_version_is_refused() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 6);
     let daemon = daemon("d1", &platform, &timer);
@@ -133,7 +137,7 @@
 
     let first = operator.apply(&weights("one", 0.7)).await.unwrap();
     let late = operator.apply(&weights("two", 0.8)).await.unwrap();
-    let again = operator.apply(&weights("one", 0.7)).await.unwrap();
+    let repeated = operator.apply(&weights("one", 0.7)).await.unwrap();
     let plan = operator
         .plan(&weights("three", 0.9).replace("= 1\n", "= 2\n"))
         .await
@@ -145,12 +149,15 @@
         late.error().message.contains("version 2 is in force"),
         "{late:?}"
     );
-    assert_eq!((again.status, again.body), (StatusCode::OK, first.body));
+    assert_eq!(
+        (repeated.status, repeated.body),
+        (StatusCode::OK, first.body)
+    );
     assert!(String::from_utf8_lossy(&plan.body).contains("0.7 -> 0.9"));
 }
 
 #[actix_rt::test]
-async fn patch_without_a_witness_is_refused_with_every_reason() {
+async fn an_invalid_patch_or_one_that_the_fleet_cannot_meet_is_refused_with_the_reason() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 6);
     let daemon = daemon("d1", &platform, &timer);
@@ -167,7 +174,7 @@
         (response.status == StatusCode::CONFLICT).then_some(response)
     })
     .await;
-    let whole = operator
+    let in_range = operator
         .apply(&patch.replace("completion_ms = 0", "completion_ms = 5000"))
         .await;
 
@@ -177,17 +184,17 @@
             .message
             .contains("completion_ms is out of range")
     );
-    let message = whole.unwrap().error().message;
+    let message = in_range.unwrap().error().message;
     assert!(
         message.contains("account `jadran`: 1 of its guaranteed shapes"),
         "{message}"
     );
 }
 
-/// A caller's connection was cut when its daemon was replaced. A drain hands
-/// the ownership over, answers everything in progress and only then ends.
+/// Guards against cutting a caller's connection when its daemon is replaced: a drain
+/// hands the ownership over and answers every request in progress before it ends.
 #[actix_rt::test]
-async fn drain_answers_what_is_in_progress_and_hands_over() {
+async fn a_drain_answers_requests_in_progress_and_hands_over() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 6);
     let first = daemon("d1", &platform, &timer);
@@ -210,12 +217,12 @@
         .drain()
         .await
         .unwrap();
-    let told = waiting.await.unwrap().unwrap();
+    let submitted = waiting.await.unwrap().unwrap();
     eventually(&timer, || async { first.is_drained().then_some(()) }).await;
     first.kill();
     let caller = client(&second, JADRAN_TOKEN, &timer);
     let answer = eventually(&timer, || async {
-        let job = told.accepted().or(told.job.clone())?;
+        let job = submitted.accepted().or(submitted.job.clone())?;
         let response = caller.answer(&job, 5_000).await.ok()?;
         (response.status == StatusCode::OK).then_some(response)
     })
@@ -224,24 +231,24 @@
     assert_eq!(drained.status, StatusCode::ACCEPTED);
     assert_eq!(answer.body.len(), 10);
     assert!(second.is_owner());
-    let begun: usize = {
-        let mut begun = 0;
+    let ended_runs: usize = {
+        let mut count = 0;
         platform.each_worker(|worker| {
-            begun += worker
+            count += worker
                 .runs
                 .iter()
                 .filter(|run| run.ended_ms.is_some())
                 .count();
         });
-        begun
+        count
     };
-    assert!(begun >= 1);
+    assert!(ended_runs >= 1);
 }
 
-/// The store was away for a while: nothing may be accepted without a commit,
-/// what runs goes on, and a refusal that says "not run" is true.
+/// Guards against accepting a job without a commit during a store outage, against
+/// ending running tasks, and against refusals that wrongly set `not_run`.
 #[actix_rt::test]
-async fn store_outage_refuses_truthfully_and_running_work_goes_on() {
+async fn jobs_refused_during_a_store_outage_do_not_run_and_running_work_continues() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 6);
     let daemon = daemon("d1", &platform, &timer);
@@ -277,8 +284,8 @@
         (response.status == StatusCode::OK).then_some(response)
     })
     .await;
-    let ran_though_refused = runs_of(&platform, "refused");
-    let again = eventually(&timer, || async {
+    let refused_runs = runs_of(&platform, "refused");
+    let repeated = eventually(&timer, || async {
         let response = caller
             .submit("refused", &small_job("standard", &probe), 5_000)
             .await
@@ -287,12 +294,12 @@
     })
     .await;
 
-    assert_eq!(again.status, StatusCode::OK);
+    assert_eq!(repeated.status, StatusCode::OK);
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
-    // The owner's lease is over by then: it can say that it did not accept the
-    // job, not that nobody did.
+    // The owner's lease has expired by then: it knows that it did not accept the job,
+    // but not that no other owner did.
     assert!(!refused.error().not_run);
     assert!(refused.error().retry_after_ms.is_some());
-    assert_eq!(ran_though_refused, 0);
+    assert_eq!(refused_runs, 0);
     assert_eq!(answer.body.len(), 10);
 }
--- a/tests/patch_faults.rs
+++ b/tests/patch_faults.rs
@@ -1,8 +1,8 @@
-//! Every fault at every step of a patch's life.
+//! Submits a patch under every fault at every step.
 //!
-//! The steps are the calls that a submission makes to the store: read, write,
-//! read back. A fault happens at one of them; then the operator submits the
-//! same patch again, as the answer says, until the outcome is known.
+//! The steps are the calls that a submission makes to the store: read, write, read back.
+//! A fault happens at one of them. The operator then submits the same patch again, as
+//! the error message asks, until the outcome is known.
 
 use fuchsiaslip::backend::{
     ListAnswer,
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 
 const STEPS: usize = 4;
-const TRIES: usize = 6;
+const MAX_TRIES: usize = 6;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
@@ -61,18 +61,19 @@
     toml::from_str(&text).expect("the patch is right")
 }
 
-fn no_workers() -> Membership {
+/// Returns a membership whose platform never answers.
+fn unresponsive_membership() -> Membership {
     Membership::from_fn(|_, _| Box::pin(async { ListAnswer::Silent }))
 }
 
-/// A store that lets `fault` happen at call number `step`.
-fn faulty(shared: Rc<RefCell<StoreStandIn>>, step: usize, fault: Fault) -> Store {
+/// Returns a store on which `fault` happens at call number `step`, counted from 0.
+fn store_with_fault(shared: Rc<RefCell<StoreStandIn>>, step: usize, fault: Fault) -> Store {
     let calls = Rc::new(Cell::new(0));
     Store::from_fn(move |call| {
-        let at = calls.get();
-        calls.set(at + 1);
-        let due = at == step;
-        let result = answer(&mut shared.borrow_mut(), call, due.then_some(fault));
+        let number = calls.get();
+        calls.set(number + 1);
+        let is_due = number == step;
+        let result = answer(&mut shared.borrow_mut(), call, is_due.then_some(fault));
         Box::pin(async move { result })
     })
 }
@@ -91,9 +92,15 @@
         }
         Some(Fault::OtherPatchFirst) => {
             let shared = Rc::new(RefCell::new(std::mem::take(store)));
-            let other = faulty(shared.clone(), usize::MAX, Fault::StoreDown);
+            let other = store_with_fault(shared.clone(), usize::MAX, Fault::StoreDown);
             let late = patch("other", 1, 0.9);
-            futures_util::FutureExt::now_or_never(submit(&other, &no_workers(), &late, "x", 0));
+            futures_util::FutureExt::now_or_never(submit(
+                &other,
+                &unresponsive_membership(),
+                &late,
+                "x",
+                0,
+            ));
             drop(other);
             *store = shared.take();
             store.handle(call, 0)
@@ -102,54 +109,67 @@
     }
 }
 
-/// Submits until the outcome is known.
+/// Submits a patch again and again until the outcome is known.
 async fn submit_until_known(store: &Store, patch: &Patch) -> PatchOutcome {
-    for _ in 0..TRIES {
-        match submit(store, &no_workers(), patch, "operator", 0).await {
+    for _ in 0..MAX_TRIES {
+        match submit(store, &unresponsive_membership(), patch, "operator", 0).await {
             PatchOutcome::Unknown => {}
             known => return known,
         }
     }
-    panic!("the outcome is known in {TRIES} tries");
+    panic!("the outcome is unknown after {MAX_TRIES} tries");
 }
 
 async fn first_version(store: &Store) -> Configuration {
-    match submit(store, &no_workers(), &patch("first", 0, 0.1), "operator", 0).await {
+    match submit(
+        store,
+        &unresponsive_membership(),
+        &patch("first", 0, 0.1),
+        "operator",
+        0,
+    )
+    .await
+    {
         PatchOutcome::Accepted(configuration) => *configuration,
         other => panic!("{other:?}"),
     }
 }
 
-async fn run_cell(step: usize, fault: Fault) {
+/// Submits a patch while `fault` happens at call number `step`, and checks the outcome
+/// against the stored history.
+async fn check_fault_at_step(step: usize, fault: Fault) {
     let shared = Rc::new(RefCell::new(StoreStandIn::default()));
-    let sound = faulty(shared.clone(), usize::MAX, Fault::StoreDown);
-    first_version(&sound).await;
+    let faultless = store_with_fault(shared.clone(), usize::MAX, Fault::StoreDown);
+    first_version(&faultless).await;
     let wanted = patch("wanted", 1, 0.7);
-    let faulty = faulty(shared, step, fault);
+    let faulty = store_with_fault(shared, step, fault);
 
     if fault == Fault::DaemonDies {
-        // The daemon is gone with its answer; another one is asked.
-        let _ = submit(&faulty, &no_workers(), &wanted, "operator", 0).await;
+        // The daemon dies before it answers. The operator then asks another one.
+        let _ = submit(&faulty, &unresponsive_membership(), &wanted, "operator", 0).await;
     }
     let outcome = submit_until_known(&faulty, &wanted).await;
     if fault == Fault::SubmittedTwice {
         submit_until_known(&faulty, &wanted).await;
     }
 
-    let (_, stored) = current(&sound).await.expect("the store is back");
-    let made = stored
+    let (_, stored) = current(&faultless).await.expect("the store is back");
+    let accepted_count = stored
         .history
         .iter()
         .filter(|summary| summary.id == "wanted")
         .count();
     match outcome {
         PatchOutcome::Accepted(_) => {
-            assert_eq!(made, 1, "{fault:?} at {step}: accepted once");
+            assert_eq!(accepted_count, 1, "{fault:?} at step {step}: accepted once");
             let version = stored.accepted("wanted").map(|summary| summary.version);
             assert!(version.is_some_and(|version| version <= stored.version));
         }
         PatchOutcome::Refused(problems) => {
-            assert_eq!(made, 0, "{fault:?} at {step}: refused whole");
+            assert_eq!(
+                accepted_count, 0,
+                "{fault:?} at step {step}: refused, but in the history"
+            );
             assert_eq!(fault, Fault::OtherPatchFirst);
             assert!(matches!(
                 problems[0],
@@ -157,7 +177,7 @@
             ));
             assert_eq!(stored.declaration.weights.completion, 0.9);
         }
-        PatchOutcome::Unknown => unreachable!("known by now"),
+        PatchOutcome::Unknown => unreachable!("submit_until_known returns no unknown outcome"),
     }
     assert_eq!(
         stored.version as usize,
@@ -167,10 +187,10 @@
 }
 
 #[actix_rt::test]
-async fn every_fault_at_every_step_of_a_patch() {
+async fn a_patch_is_accepted_once_or_refused_under_every_fault_at_every_step() {
     for step in 0..STEPS {
         for fault in FAULTS {
-            run_cell(step, fault).await;
+            check_fault_at_step(step, fault).await;
         }
     }
     println!(
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path through the public face: platform, daemon, caller.
+//! Jobs from their submission to their answer, through the HTTP API of a daemon on a
+//! stand-in platform.
 
 mod support;
 
@@ -48,11 +49,12 @@
     }
 }
 
-/// An urgent job waited ten seconds although its worker was idle. Each worker
-/// that a daemon keeps holds a connection with its long poll; beyond a hundred
-/// the HTTP library let new calls, a start among them, wait for a poll to end.
+/// Guards against the connection limit of the HTTP library. The long poll of each
+/// monitored worker uses one connection. Beyond 100 connections the library made new
+/// calls wait for a poll to end, so that an urgent job started ten seconds late on an
+/// idle worker.
 #[actix_rt::test]
-async fn more_workers_than_the_library_opens_connections_are_kept_at_once() {
+async fn a_daemon_polls_more_workers_at_once_than_the_default_limit_on_connections() {
     const WORKERS: usize = 130;
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, WORKERS);
@@ -66,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn repeated_key_finds_the_first_job_and_another_account_sees_none() {
+async fn a_repeated_key_returns_the_first_job_and_another_account_cannot_see_it() {
     let timer = Timer::spawn().unwrap();
     let platform = platform(&timer, 12);
     let daemon = daemon("d1", &platform, &timer);
@@ -89,9 +91,9 @@
         .unwrap();
     let changed = small_job("standard", &task("changed", 10));
     let reused = caller.submit("key", &changed, 0).await.unwrap();
-    let peeked = other.status(&first).await.unwrap();
+    let seen_by_other = other.status(&first).await.unwrap();
 
     assert_eq!(first, second);
     assert_eq!(reused.error().error, "key_reused");
-    assert_eq!(peeked.status, StatusCode::NOT_FOUND);
+    assert_eq!(seen_by_other.status, StatusCode::NOT_FOUND);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Requests find the data centre that is the home of their key.
+//! Requests are routed to the data centre that stores the job of their key.
 
 mod support;
 
@@ -25,7 +25,7 @@
     small_job, //
 };
 
-const OTHER: &str = "ka-mostanje";
+const OTHER_DATA_CENTRE: &str = "ka-mostanje";
 
 fn fleet(data_centre: &str) -> Fleet {
     Fleet {
@@ -48,26 +48,30 @@
 #[actix_rt::test]
 async fn jobs_of_one_account_are_spread_and_found_through_any_daemon() {
     let timer = Timer::spawn().unwrap();
-    let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE), fleet(OTHER)]).unwrap();
-    let here = daemon_in(DATA_CENTRE, "d1", &platform, &timer);
-    let there = daemon_in(OTHER, "d2", &platform, &timer);
-    let places = vec![DATA_CENTRE.to_owned(), OTHER.to_owned()];
-    let both = format!("data_centres = {places:?}");
+    let platform = Platform::spawn(
+        timer.clone(),
+        &[fleet(DATA_CENTRE), fleet(OTHER_DATA_CENTRE)],
+    )
+    .unwrap();
+    let first = daemon_in(DATA_CENTRE, "d1", &platform, &timer);
+    let second = daemon_in(OTHER_DATA_CENTRE, "d2", &platform, &timer);
+    let data_centres = vec![DATA_CENTRE.to_owned(), OTHER_DATA_CENTRE.to_owned()];
+    let both = format!("data_centres = {data_centres:?}");
     let patch = first_patch().replace(&format!("data_centres = [\"{DATA_CENTRE}\"]"), &both);
-    let operator = client(&here, OPERATOR_TOKEN, &timer);
+    let operator = client(&first, OPERATOR_TOKEN, &timer);
     eventually(&timer, || async {
         let applied = operator.apply(&patch).await.ok()?;
         applied.status.is_success().then_some(())
     })
     .await;
-    let (through_here, through_there) = (
-        client(&here, JADRAN_TOKEN, &timer),
-        client(&there, JADRAN_TOKEN, &timer),
+    let (through_first, through_second) = (
+        client(&first, JADRAN_TOKEN, &timer),
+        client(&second, JADRAN_TOKEN, &timer),
     );
 
-    let mut homes: BTreeMap<String, usize> = BTreeMap::new();
-    for at in 0..12 {
-        let key = format!("key-{at}");
+    let mut jobs_by_data_centre: BTreeMap<String, usize> = BTreeMap::new();
+    for index in 0..12 {
+        let key = format!("key-{index}");
         let task = TaskSpec {
             answer_bytes: 8,
             marker: key.clone(),
@@ -75,25 +79,27 @@
         };
         let job = small_job("standard", &task);
         let served = eventually(&timer, || async {
-            let response = through_here.submit(&key, &job, 5_000).await.ok()?;
+            let response = through_first.submit(&key, &job, 5_000).await.ok()?;
             (response.status == StatusCode::OK).then_some(response)
         })
         .await;
-        let again = eventually(&timer, || async {
-            let response = through_there.submit(&key, &job, 5_000).await.ok()?;
+        let repeated = eventually(&timer, || async {
+            let response = through_second.submit(&key, &job, 5_000).await.ok()?;
             (response.status == StatusCode::OK).then_some(response)
         })
         .await;
         let name = served.job.clone().unwrap();
-        let (home, _) = name.rsplit_once('.').unwrap();
-        assert_eq!(again.job, served.job);
-        assert_eq!(again.body, served.body);
+        let (data_centre, _) = name.rsplit_once('.').unwrap();
+        assert_eq!(repeated.job, served.job);
+        assert_eq!(repeated.body, served.body);
         assert_eq!(
-            home_data_centre(&places, "jadran", &key).map(String::as_str),
-            Some(home)
+            home_data_centre(&data_centres, "jadran", &key).map(String::as_str),
+            Some(data_centre)
         );
-        *homes.entry(home.to_owned()).or_default() += 1;
+        *jobs_by_data_centre
+            .entry(data_centre.to_owned())
+            .or_default() += 1;
     }
 
-    assert_eq!(homes.len(), 2, "{homes:?}");
+    assert_eq!(jobs_by_data_centre.len(), 2, "{jobs_by_data_centre:?}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the integration tests.
+//! Fixtures for the integration tests.
 #![allow(
     dead_code,
     clippy::allow_attributes,
@@ -27,7 +27,7 @@
 pub const RIJEKA_TOKEN: &str = "rijeka-token";
 pub const DATA_CENTRE: &str = "zg-dubrava";
 
-/// A stand-in platform with `workers` workers of 8 accelerators.
+/// Starts a stand-in platform with `workers` workers of 8 accelerators each.
 pub fn platform(timer: &Timer, workers: usize) -> Platform {
     let fleet = Fleet {
         data_centre: DATA_CENTRE.to_owned(),
@@ -59,7 +59,7 @@
     Settings::parse(&text).expect("the settings are right")
 }
 
-/// A daemon that the platform's list names.
+/// Starts a daemon and adds it to the platform's list.
 pub fn daemon(name: &str, platform: &Platform, timer: &Timer) -> Daemon {
     let daemon = Daemon::spawn(settings(name, platform), timer.clone()).expect("ports are free");
     platform.add_daemon(name, DATA_CENTRE, &daemon.peer_address.to_string());
@@ -123,7 +123,7 @@
     Client::open(&daemon.http_address.to_string(), token, timer.clone())
 }
 
-/// A small job of `class`.
+/// Returns a job of `class` that runs `task` on one accelerator of one worker.
 pub fn small_job(class: &str, task: &TaskSpec) -> Submit {
     Submit {
         class: class.to_owned(),
@@ -136,7 +136,7 @@
     }
 }
 
-/// Tries `attempt` until it gives something, for at most 15 seconds.
+/// Calls `attempt` until it returns a value, for at most 15 seconds.
 pub async fn eventually<T, F: Future<Output = Option<T>>>(
     timer: &Timer,
     mut attempt: impl FnMut() -> F,
@@ -146,7 +146,7 @@
         if let Some(found) = attempt().await {
             return found;
         }
-        assert!(timer.now_ms() < until_ms, "nothing came in 15 seconds");
+        assert!(timer.now_ms() < until_ms, "no value after 15 seconds");
         timer.sleep(50).await;
     }
 }
