--- a/src/daemon/entry/jobs.rs
+++ b/src/daemon/entry/jobs.rs
@@ -117,8 +117,9 @@
             .ok_or(ApiError::UnknownToken)
     }
 
-    /// Waits for the job's end, for at most `wait_ms`. Returns `None` on a timeout and
-    /// while the daemon drains, so that the caller can ask another daemon.
+    /// Waits for the job's end, for at most `wait_ms` and `MAX_WAIT_MS`. Returns `None` on
+    /// a timeout and as soon as the daemon drains: the caller then learns that its job is
+    /// accepted, and can ask another daemon.
     async fn wait(
         &self,
         data_centre: &str,
