--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -1,11 +1,12 @@
-//! The platform's services over HTTP, as the stand-in serves them.
+//! HTTP client of the platform's services, with the protocol that the stand-in serves.
 //!
-//! Store: `GET /kv/KEY`, `GET /kv/KEY?after=V&wait_ms=N`,
-//! `PUT /kv/KEY?expect=V`, `PUT /lease/KEY?holder=H&ttl_ms=N`,
-//! `DELETE /lease/KEY?holder=H`; the version travels in `x-version`.
-//! List: `GET /vms?data_centre=D` or `?kind=daemon`, in JSON, with an `etag`
-//! and `if-none-match`. Workers: `POST /reserve`, `/start`, `/stop`,
-//! `/inspect`, `/poll`, and `GET /answer` with their parameters in the query.
+//! - Store: `GET /kv/KEY`, `GET /kv/KEY?after=V&wait_ms=N`,
+//!   `PUT /kv/KEY?expect=V`, `PUT /lease/KEY?holder=H&ttl_ms=N`,
+//!   `DELETE /lease/KEY?holder=H`. The header `x-version` has the version of a value.
+//! - VM list: `GET /vms?data_centre=D` or `GET /vms?kind=daemon`, in JSON, with `etag`
+//!   and `if-none-match`.
+//! - Workers: `POST /reserve`, `/start`, `/stop`, `/inspect`, `/poll`, and
+//!   `GET /answer`, with the parameters in the query.
 
 use super::{
     ListAnswer,
@@ -40,55 +41,57 @@
 };
 use std::rc::Rc;
 
-/// Header that carries a value's version.
+/// Header with the version of a stored value.
 pub const VERSION_HEADER: &str = "x-version";
 const STORE_TIMEOUT_MS: u64 = 1_000;
 const WORKER_TIMEOUT_MS: u64 = 1_000;
+/// Time that a poll may take beyond the wait that it asks for.
 const POLL_SLACK_MS: u64 = 2_000;
 const LIST_TIMEOUT_MS: u64 = 2_000;
 const MAX_LIST_BYTES: usize = 8 << 20;
-const MAX_CALL_BYTES: usize = 2 << 20;
+const MAX_ANSWER_BYTES: usize = 2 << 20;
 
-/// A worker's answer to a call, on the wire in prost.
+/// The body of a worker's answer to a poll, encoded with prost.
 #[derive(Clone, PartialEq, Message)]
 pub struct WorkerAnswerBody {
-    /// A poll's incarnation.
+    /// The worker's incarnation, which changes when the worker restarts.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// A poll's word on leaving.
+    /// Whether the worker is leaving.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// A poll's cursor.
+    /// Number of the last change that this answer covers.
     #[prost(uint64, tag = "3")]
     pub cursor: u64,
-    /// A poll's news, or the one state that was asked for.
+    /// The changes after the cursor of the poll.
     #[prost(message, required, tag = "4")]
     pub tasks: TasksBody,
 }
 
-/// Parameters of worker calls in a query.
+/// Parameters of worker calls, sent as the query of the URL.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct WorkerQuery {
     /// The caller's epoch.
     #[serde(skip_serializing_if = "is_zero")]
     pub epoch: u64,
-    /// The job.
+    /// The job of the attempt.
     #[serde(skip_serializing_if = "is_zero")]
     pub job: u64,
-    /// The attempt.
+    /// Number of the attempt within its job.
     #[serde(skip_serializing_if = "is_zero")]
     pub attempt: u64,
-    /// The accelerators.
+    /// Bit mask of the accelerators to reserve.
     #[serde(skip_serializing_if = "is_zero")]
     pub mask: u64,
-    /// Expiry of a reservation, grace of a stop, wait of a poll, or progress.
+    /// A duration in milliseconds: the lifetime of a reservation, the saved progress
+    /// of a start, the grace time of a stop, or the wait of a poll.
     #[serde(skip_serializing_if = "is_zero")]
     pub ms: u64,
-    /// News up to here is known.
+    /// Number of the last change that the caller knows.
     #[serde(skip_serializing_if = "is_zero")]
     pub cursor: u64,
-    /// Length of the worker's lease.
+    /// Duration of the worker's lease, which the poll renews.
     #[serde(skip_serializing_if = "is_zero")]
     pub lease_ms: u64,
 }
@@ -99,7 +102,7 @@
 }
 
 impl WorkerQuery {
-    fn of(attempt: AttemptId, epoch: u64, ms: u64) -> Self {
+    fn for_attempt(attempt: AttemptId, epoch: u64, ms: u64) -> Self {
         Self {
             epoch,
             job: attempt.job.0,
@@ -110,7 +113,8 @@
     }
 }
 
-/// The platform's services at one address; lives on one thread.
+/// A client of the platform's services at one address. It stays on the thread that
+/// created it.
 #[derive(Clone)]
 pub struct HttpPlatform {
     address: Rc<str>,
@@ -119,15 +123,15 @@
 }
 
 impl HttpPlatform {
-    /// Opens the platform at `address`, an IP number and a port.
+    /// Creates a client for the platform at `address`, an IP address with a port.
     pub fn open(address: &str, timer: Timer) -> Self {
         Self {
             address: address.into(),
-            // The default headers (a date, a name) cost bytes on every poll. The
-            // library's bound of 100 connections is lifted: each kept worker
-            // holds one with its long poll, and from the hundredth on a start
-            // would wait for a poll to end. What is under way is bounded by the
-            // callers of this adapter.
+            // The default headers (a date and a user agent) would add bytes to every
+            // poll. The library's limit of 100 connections is lifted because the long
+            // poll of each monitored worker occupies one: from the hundredth worker
+            // on, a start would wait for a poll to end. The callers of this adapter
+            // limit the number of calls in flight.
             client: Client::builder()
                 .connector(awc::Connector::new().limit(0))
                 .disable_timeout()
@@ -137,7 +141,7 @@
         }
     }
 
-    /// The key-value service.
+    /// Returns the key-value service.
     pub fn store(&self) -> Store {
         let platform = self.clone();
         Store::from_fn(move |call| {
@@ -146,7 +150,7 @@
         })
     }
 
-    /// The workers.
+    /// Returns the workers' interface.
     pub fn workers(&self) -> Workers {
         let platform = self.clone();
         Workers::from_fn(move |address, call| {
@@ -155,21 +159,23 @@
         })
     }
 
-    /// The list of VMs.
+    /// Returns the list of VMs.
     pub fn membership(&self) -> Membership {
         let platform = self.clone();
         Membership::from_fn(move |scope, tag| {
             let platform = platform.clone();
             Box::pin(async move {
-                let answer = platform.list(scope, &tag).await;
+                let answer = platform.fetch_list(scope, &tag).await;
                 answer.unwrap_or(ListAnswer::Silent)
             })
         })
     }
 
-    /// Begins to read an answer from the worker at `address`.
+    /// Requests the answer of `attempt` from the worker at `address`. The response
+    /// has its headers; its body is still to be read. Returns `None` if the worker
+    /// does not respond in time or does not have the answer.
     pub async fn answer(&self, address: &str, attempt: AttemptId) -> Option<ClientResponse> {
-        let query = encode(&WorkerQuery::of(attempt, 0, 0));
+        let query = encode_query(&WorkerQuery::for_attempt(attempt, 0, 0));
         let request = self.client.get(format!("http://{address}/answer?{query}"));
         let response = self.timer.timeout(WORKER_TIMEOUT_MS, request.send()).await;
         let response = response.ok()?.ok()?;
@@ -181,9 +187,9 @@
             StoreCall::Watch { wait_ms, .. } => *wait_ms,
             _ => 0,
         };
-        let sent = self.send_store(call);
-        let answered = self.timer.timeout(STORE_TIMEOUT_MS + wait_ms, sent).await;
-        answered.unwrap_or(Err(StoreFailure::Timeout))
+        let answer = self.send_store(call);
+        let result = self.timer.timeout(STORE_TIMEOUT_MS + wait_ms, answer).await;
+        result.unwrap_or(Err(StoreFailure::Timeout))
     }
 
     async fn send_store(&self, call: StoreCall) -> Result<StoreAnswer, StoreFailure> {
@@ -226,15 +232,15 @@
             Some(body) => request.send_body(body).await,
             None => request.send().await,
         };
-        // A connection that could not be opened carried nothing; any other
-        // failure leaves open whether the call took effect.
+        // If no connection was opened, the call had no effect. After any other
+        // failure the call may have taken effect.
         let mut response = sent.map_err(|error| match was_never_sent(&error) {
             true => StoreFailure::Unavailable,
             false => StoreFailure::Timeout,
         })?;
-        let version = version_of(&response);
+        let version = parse_version(&response);
         let status = response.status();
-        let body = response.body().limit(MAX_CALL_BYTES).await;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await;
         let body = body.map_err(|_| StoreFailure::Timeout)?;
         match (status, version) {
             (StatusCode::OK, Some(version)) => Ok(StoreAnswer::Value {
@@ -254,7 +260,7 @@
         }
     }
 
-    async fn list(&self, scope: ListScope, tag: &str) -> Option<ListAnswer> {
+    async fn fetch_list(&self, scope: ListScope, tag: &str) -> Option<ListAnswer> {
         let query = match scope {
             ListScope::DataCentre(name) => format!("data_centre={name}"),
             ListScope::Daemons => "kind=daemon".to_owned(),
@@ -284,14 +290,14 @@
         address: &str,
         call: WorkerCall,
     ) -> Result<WorkerAnswer, WorkerFailure> {
-        let limit_ms = match &call {
+        let timeout_ms = match &call {
             WorkerCall::Poll { wait_ms, .. } => wait_ms + POLL_SLACK_MS,
             _ => WORKER_TIMEOUT_MS,
         };
-        let answered = self
+        let result = self
             .timer
-            .timeout(limit_ms, self.send_worker(address, call));
-        answered.await.unwrap_or(Err(WorkerFailure::Silent))
+            .timeout(timeout_ms, self.send_worker(address, call));
+        result.await.unwrap_or(Err(WorkerFailure::Silent))
     }
 
     async fn send_worker(
@@ -299,9 +305,9 @@
         address: &str,
         call: WorkerCall,
     ) -> Result<WorkerAnswer, WorkerFailure> {
-        let polled = matches!(call, WorkerCall::Poll { .. });
-        let (path, query, body) = request_of(call);
-        let url = format!("http://{address}/{path}?{}", encode(&query));
+        let is_poll = matches!(call, WorkerCall::Poll { .. });
+        let (path, query, body) = encode_call(call);
+        let url = format!("http://{address}/{path}?{}", encode_query(&query));
         let request = self.client.post(url);
         let sent = match body.is_empty() {
             true => request.send().await,
@@ -309,28 +315,28 @@
         };
         let mut response = sent.map_err(|_| WorkerFailure::Silent)?;
         let status = response.status();
-        let body = response.body().limit(MAX_CALL_BYTES).await;
+        let body = response.body().limit(MAX_ANSWER_BYTES).await;
         let body = body.map_err(|_| WorkerFailure::Silent)?;
         match status {
-            StatusCode::OK if polled => decode_poll(&body),
+            StatusCode::OK if is_poll => decode_poll(&body),
             StatusCode::OK => decode_state(&body),
             StatusCode::ACCEPTED => Ok(WorkerAnswer::Done),
-            StatusCode::CONFLICT => refusal_of(&body),
+            StatusCode::CONFLICT => decode_refusal(&body),
             _ => Err(WorkerFailure::Silent),
         }
     }
 }
 
-fn version_of<B>(response: &ClientResponse<B>) -> Option<u64> {
+fn parse_version<B>(response: &ClientResponse<B>) -> Option<u64> {
     let header = response.headers().get(VERSION_HEADER)?;
     header.to_str().ok()?.parse().ok()
 }
 
-fn encode(query: &WorkerQuery) -> String {
+fn encode_query(query: &WorkerQuery) -> String {
     serde_urlencoded::to_string(query).unwrap_or_default()
 }
 
-fn request_of(call: WorkerCall) -> (&'static str, WorkerQuery, Bytes) {
+fn encode_call(call: WorkerCall) -> (&'static str, WorkerQuery, Bytes) {
     match call {
         WorkerCall::Reserve {
             epoch,
@@ -340,7 +346,7 @@
         } => {
             let query = WorkerQuery {
                 mask: u64::from(mask),
-                ..WorkerQuery::of(attempt, epoch, expires_ms)
+                ..WorkerQuery::for_attempt(attempt, epoch, expires_ms)
             };
             ("reserve", query, Bytes::new())
         }
@@ -351,7 +357,7 @@
             payload,
         } => (
             "start",
-            WorkerQuery::of(attempt, epoch, progress_ms),
+            WorkerQuery::for_attempt(attempt, epoch, progress_ms),
             payload,
         ),
         WorkerCall::Stop {
@@ -360,12 +366,14 @@
             grace_ms,
         } => (
             "stop",
-            WorkerQuery::of(attempt, epoch, grace_ms),
+            WorkerQuery::for_attempt(attempt, epoch, grace_ms),
+            Bytes::new(),
+        ),
+        WorkerCall::Inspect { epoch, attempt } => (
+            "inspect",
+            WorkerQuery::for_attempt(attempt, epoch, 0),
             Bytes::new(),
         ),
-        WorkerCall::Inspect { epoch, attempt } => {
-            ("inspect", WorkerQuery::of(attempt, epoch, 0), Bytes::new())
-        }
         WorkerCall::Poll {
             cursor,
             wait_ms,
@@ -403,7 +411,7 @@
     Ok(WorkerAnswer::State(body.into_change().state))
 }
 
-fn refusal_of(body: &[u8]) -> Result<WorkerAnswer, WorkerFailure> {
+fn decode_refusal(body: &[u8]) -> Result<WorkerAnswer, WorkerFailure> {
     use super::WorkerRefusal;
     let refusal = WorkerRefusal::ALL
         .into_iter()
--- a/src/backend/membership.rs
+++ b/src/backend/membership.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs, which lags behind reality.
+//! The platform's list of VMs, which shows a change of the VMs only after a delay.
 
 use futures_util::future::LocalBoxFuture;
 use serde::{
@@ -11,35 +11,35 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmKind {
-    /// Runs a daemon of ours.
+    /// Runs a daemon of this scheduler.
     Daemon,
-    /// A worker.
+    /// Runs tasks as a worker.
     Worker,
 }
 
-/// One VM of the list.
+/// A VM of the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmRecord {
-    /// Its name.
+    /// Name of the VM.
     pub name: String,
-    /// What it is for.
+    /// What the VM is for.
     pub kind: VmKind,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Its rack.
+    /// Rack of the VM; empty if unknown.
     #[serde(default)]
     pub rack: String,
-    /// Its accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u16,
-    /// Whether it is leaving.
+    /// Whether the VM is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Which part of the list is asked for.
+/// The part of the list that is requested.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ListScope {
     /// All VMs of one data centre.
@@ -48,32 +48,33 @@
     Daemons,
 }
 
-/// What came of asking for the list.
+/// The result of a request for the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ListAnswer {
-    /// It is as it was when the caller got this tag.
+    /// The list has not changed since the state with the caller's tag.
     Unchanged,
-    /// It is this.
+    /// The list differs from the state with the caller's tag.
     Changed {
-        /// Tag of this state of the list.
+        /// Tag of the new state of the list.
         tag: String,
-        /// The VMs.
+        /// All VMs of the requested part.
         vms: Vec<VmRecord>,
     },
-    /// It cannot be had now.
+    /// The list could not be fetched.
     Silent,
 }
 
 type ListVms = dyn Fn(ListScope, String) -> LocalBoxFuture<'static, ListAnswer>;
 
-/// The platform's list behind a closure.
+/// The platform's list of VMs, fetched by a closure.
 #[derive(Clone)]
 pub struct Membership {
     list: Rc<ListVms>,
 }
 
 impl Membership {
-    /// A list that `list` asks for, given the tag that the caller has.
+    /// Creates a list that `list` fetches. Its second argument is the tag of the
+    /// state that the caller has.
     pub fn from_fn(
         list: impl Fn(ListScope, String) -> LocalBoxFuture<'static, ListAnswer> + 'static,
     ) -> Self {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Asks for part of the list; `tag` is of the state that the caller has,
-    /// or empty.
+    /// Fetches part of the list. `tag` is the tag of the state that the caller has;
+    /// empty if it has none.
     pub async fn list(&self, scope: ListScope, tag: &str) -> ListAnswer {
         (self.list)(scope, tag.to_owned()).await
     }
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,7 +1,8 @@
-//! What the platform gives, as calls and answers without I/O.
+//! The services of the platform (key-value store, VM list and workers) as call and
+//! answer types that do no I/O.
 //!
-//! The adapters that carry these calls over HTTP are one file each; another
-//! platform's protocol is another such file.
+//! The adapter that sends these calls over HTTP is in `http.rs`. The protocol of
+//! another platform would be another adapter file.
 
 mod http;
 mod membership;
--- a/src/backend/store.rs
+++ b/src/backend/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service.
+//! Calls and answers of the platform's key-value service.
 
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
@@ -12,14 +12,14 @@
         /// The key.
         key: String,
     },
-    /// Waits until the value's version is above `after_version`, or answers
-    /// what there is after `wait_ms`.
+    /// Waits until the version of the value is above `after_version`; after `wait_ms`
+    /// the service answers with the current value.
     Watch {
         /// The key.
         key: String,
         /// The version that the caller knows.
         after_version: u64,
-        /// How long to wait.
+        /// How long to wait, in milliseconds.
         wait_ms: u64,
     },
     /// Writes a value if its version is still `expected_version`.
@@ -31,26 +31,26 @@
         /// The new value; at most 1 MB.
         value: Bytes,
     },
-    /// Takes or renews a lease.
+    /// Acquires or renews a lease.
     AcquireLease {
         /// The key.
         key: String,
-        /// Who holds it.
+        /// Name of the holder.
         holder: String,
-        /// For how long.
+        /// Duration of the lease, in milliseconds.
         ttl_ms: u64,
     },
-    /// Gives a lease up.
+    /// Releases a lease.
     ReleaseLease {
         /// The key.
         key: String,
-        /// Who held it.
+        /// Name of the holder.
         holder: String,
     },
 }
 
 impl StoreCall {
-    /// The kind of call, as counters name it.
+    /// Returns the kind of call as the label of the metrics names it.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Get { .. } => "get",
@@ -67,53 +67,53 @@
 pub enum StoreAnswer {
     /// The value with its version.
     Value {
-        /// Its version, from 1.
+        /// Its version; the first one is 1.
         version: u64,
         /// The value.
         value: Bytes,
     },
-    /// There is no value; counts as version 0.
+    /// There is no value under the key, which counts as version 0.
     Absent,
     /// The write took effect.
     Written {
         /// The new version.
         version: u64,
     },
-    /// The version was another one; nothing was written.
+    /// The value has another version than expected; nothing was written.
     Conflict,
-    /// The lease is the caller's for the time that it asked for.
+    /// The caller holds the lease for the requested duration.
     Granted,
-    /// The lease is somebody else's.
+    /// Another holder has the lease.
     Held {
-        /// Whose.
+        /// Name of that holder.
         holder: String,
     },
-    /// The lease is given up.
+    /// The lease is released.
     Released,
 }
 
-/// A call without an answer.
+/// Why a call has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum StoreFailure {
-    /// The service refused; the call had no effect.
-    #[error("the key-value service refuses calls; wait for it to come back")]
+    /// The service refused the call or was not reached; the call had no effect.
+    #[error("the key-value service is unavailable; wait until it accepts calls again")]
     Unavailable,
     /// No answer came; the call may have taken effect.
-    #[error("the key-value service did not answer in time; read back what took effect")]
+    #[error("the key-value service did not answer in time; read back whether the call took effect")]
     Timeout,
 }
 
-/// The closure that carries calls to the service.
+/// The closure that sends calls to the service.
 type CallStore = dyn Fn(StoreCall) -> LocalBoxFuture<'static, Result<StoreAnswer, StoreFailure>>;
 
-/// The key-value service behind a closure.
+/// The key-value service, called through a closure.
 #[derive(Clone)]
 pub struct Store {
     call: Rc<CallStore>,
 }
 
 impl Store {
-    /// A service that `call` carries calls to.
+    /// Creates a service to which `call` sends the calls.
     pub fn from_fn(
         call: impl Fn(StoreCall) -> LocalBoxFuture<'static, Result<StoreAnswer, StoreFailure>> + 'static,
     ) -> Self {
@@ -122,11 +122,12 @@
         }
     }
 
-    /// Carries one call.
+    /// Sends one call and waits for its answer.
     ///
     /// # Errors
     ///
-    /// Tells a call that had no effect from one that may have had.
+    /// Returns [`StoreFailure::Unavailable`] if the call had no effect, and
+    /// [`StoreFailure::Timeout`] if it may have taken effect.
     pub async fn call(&self, call: StoreCall) -> Result<StoreAnswer, StoreFailure> {
         metrics::counter!("fuchsiaslip_store_calls_total", "call" => call.name()).increment(1);
         (self.call)(call).await
--- a/src/backend/task_body.rs
+++ b/src/backend/task_body.rs
@@ -1,4 +1,5 @@
-//! News of tasks as they are encoded, between daemons and from workers.
+//! Prost encoding of task changes, in answers of workers and in messages between
+//! daemons.
 
 use super::{
     TaskChange,
@@ -18,27 +19,27 @@
     pub tasks: Vec<TaskBody>,
 }
 
-/// One task.
+/// One changed task.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TaskBody {
-    /// Its job.
+    /// The job of the attempt.
     #[prost(uint64, tag = "1")]
     pub job: u64,
-    /// Its attempt.
+    /// Number of the attempt within its job.
     #[prost(uint32, tag = "2")]
     pub attempt: u32,
-    /// Where it stands.
+    /// The state of the task.
     #[prost(enumeration = "TaskCode", tag = "3")]
     pub code: i32,
-    /// Work that its checkpoint saved.
+    /// Work that the checkpoint saved, in milliseconds of run time; only if stopped.
     #[prost(uint64, tag = "4")]
     pub progress_ms: u64,
-    /// Its answer.
+    /// The answer of the task; only if finished.
     #[prost(message, optional, tag = "5")]
     pub answer: Option<AnswerRecord>,
 }
 
-/// [`TaskState`] as it is encoded.
+/// Encoded variant of [`TaskState`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub enum TaskCode {
@@ -83,7 +84,7 @@
 }
 
 impl TaskBody {
-    /// Decodes the change.
+    /// Decodes the body into the change that it describes.
     pub fn into_change(self) -> TaskChange {
         let attempt = AttemptId {
             job: JobId(self.job),
--- a/src/backend/worker.rs
+++ b/src/backend/worker.rs
@@ -1,5 +1,5 @@
-//! What workers offer: reserve, start, stop, inspect, and a long poll that
-//! renews their lease and brings news of their tasks.
+//! Calls and answers of workers: reserve, start, stop, inspect, and a long poll that
+//! renews the worker's lease and returns the changes of its tasks.
 
 use crate::core::{
     AcceleratorMask,
@@ -13,15 +13,17 @@
 /// A call to a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerCall {
-    /// Reserves accelerators for an attempt; expires by itself.
+    /// Reserves accelerators for an attempt. The reservation expires unless the
+    /// attempt is started.
     Reserve {
-        /// The caller's epoch; a worker refuses a lower one than it has seen.
+        /// The caller's epoch; a worker refuses an epoch lower than the highest it
+        /// has seen.
         epoch: u64,
         /// The attempt.
         attempt: AttemptId,
         /// The accelerators.
         mask: AcceleratorMask,
-        /// For how long.
+        /// Lifetime of the reservation, in milliseconds.
         expires_ms: u64,
     },
     /// Starts a reserved attempt.
@@ -30,9 +32,9 @@
         epoch: u64,
         /// The attempt.
         attempt: AttemptId,
-        /// Work that an earlier checkpoint saved.
+        /// Work that an earlier checkpoint saved, in milliseconds of run time.
         progress_ms: u64,
-        /// What the task is given.
+        /// Input of the task.
         payload: Bytes,
     },
     /// Stops an attempt or ends its reservation.
@@ -41,25 +43,26 @@
         epoch: u64,
         /// The attempt.
         attempt: AttemptId,
-        /// Time for a checkpoint; 0 for none.
+        /// Time that the task has for a checkpoint, in milliseconds; 0 for none.
         grace_ms: u64,
     },
-    /// Asks for an attempt and fences every lower epoch out; a reservation
-    /// that has not begun is ended by it.
+    /// Asks for the state of an attempt. From then on the worker refuses every lower
+    /// epoch. If the attempt is reserved but not started, its reservation ends.
     Inspect {
         /// The caller's epoch.
         epoch: u64,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Renews the worker's lease; answers at once if there is news after
-    /// `cursor`, else after `wait_ms`.
+    /// Renews the worker's lease and asks for the changes after `cursor`. The worker
+    /// answers at once if there are any, else after `wait_ms`.
     Poll {
-        /// News up to here is known.
+        /// Number of the last change that the caller knows.
         cursor: u64,
-        /// How long to wait for news.
+        /// How long the worker waits for a change, in milliseconds.
         wait_ms: u64,
-        /// For how long the worker's tasks may go on without another renewal.
+        /// How long the worker's tasks may run without another renewal, in
+        /// milliseconds.
         lease_ms: u64,
     },
 }
@@ -67,20 +70,20 @@
 /// Why a worker refuses a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkerRefusal {
-    /// A higher epoch was seen.
+    /// The worker has seen a higher epoch than the caller's.
     StaleEpoch,
     /// The worker is leaving.
     Leaving,
-    /// The accelerators are taken.
+    /// The accelerators are reserved or in use.
     Busy,
-    /// There is no reservation of that attempt.
+    /// The worker has no reservation for the attempt.
     NotReserved,
     /// The task could not be started and has not begun.
     CannotStart,
 }
 
 impl WorkerRefusal {
-    /// All refusals.
+    /// All reasons.
     pub const ALL: [WorkerRefusal; 5] = [
         Self::StaleEpoch,
         Self::Leaving,
@@ -89,7 +92,7 @@
         Self::CannotStart,
     ];
 
-    /// The refusal as the worker's answer names it.
+    /// Returns the name of the reason in the worker's answer.
     pub fn name(self) -> &'static str {
         match self {
             Self::StaleEpoch => "stale_epoch",
@@ -101,81 +104,82 @@
     }
 }
 
-/// Where a task stands on its worker.
+/// State of a task on its worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TaskState {
-    /// The worker knows nothing of it.
+    /// The worker has no record of the task.
     Unknown,
-    /// It was reserved, has not begun, and will not begin any more. Said only
-    /// by a worker that has not restarted since the reservation.
+    /// The task was reserved, has not started and will not start. Only a worker that
+    /// has not restarted since the reservation reports this state.
     NotBegun,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It finished.
+    /// The task finished with this answer.
     Finished(AnswerRecord),
-    /// It began and failed.
+    /// The task started and failed.
     Failed,
-    /// It was stopped.
+    /// The task was stopped.
     Stopped {
-        /// Work that its checkpoint saved.
+        /// Work that its checkpoint saved, in milliseconds of run time.
         progress_ms: u64,
     },
 }
 
-/// News of one task.
+/// A change of the state of one task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TaskChange {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Where it stands now.
+    /// Its new state.
     pub state: TaskState,
 }
 
-/// What a poll brings.
+/// The answer to a poll.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PollAnswer {
-    /// Changes whenever the worker restarts and has forgotten its tasks.
+    /// Identifies the incarnation of the worker; a restarted worker has another one
+    /// and has lost its tasks.
     pub incarnation: u64,
     /// Whether the worker is leaving.
     pub leaving: bool,
-    /// News up to here is in this answer.
+    /// Number of the last change that this answer covers.
     pub cursor: u64,
-    /// The news.
+    /// The changes after the cursor of the poll.
     pub changes: Vec<TaskChange>,
 }
 
 /// A worker's answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WorkerAnswer {
-    /// Done.
+    /// The call was carried out.
     Done,
-    /// Not done, and it will not be done later.
+    /// The call was not carried out and will not be carried out later.
     Refused(WorkerRefusal),
-    /// Where the task stands.
+    /// The state of the attempt.
     State(TaskState),
     /// The answer to a poll.
     Polled(PollAnswer),
 }
 
-/// A call without an answer; it may have taken effect.
+/// Why a call has no answer; the call may have taken effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum WorkerFailure {
-    /// No connection or no answer.
-    #[error("the worker does not answer; it is retried until its lease has ended")]
+    /// No connection could be opened, or no valid answer arrived in time.
+    #[error("the worker does not answer; calls are retried until its lease has expired")]
     Silent,
 }
 
 type CallWorker =
     dyn Fn(String, WorkerCall) -> LocalBoxFuture<'static, Result<WorkerAnswer, WorkerFailure>>;
 
-/// The workers behind a closure that takes an address and a call.
+/// The workers, called through a closure that takes an address and a call.
 #[derive(Clone)]
 pub struct Workers {
     call: Rc<CallWorker>,
 }
 
 impl Workers {
-    /// Workers that `call` carries calls to.
+    /// Creates an interface to workers to which `call` sends the calls.
     pub fn from_fn(
         call: impl Fn(
             String,
@@ -188,11 +192,11 @@
         }
     }
 
-    /// Carries one call to the worker at `address`.
+    /// Sends one call to the worker at `address` and waits for its answer.
     ///
     /// # Errors
     ///
-    /// No answer came; the call may have taken effect.
+    /// No valid answer arrived; the call may have taken effect.
     pub async fn call(
         &self,
         address: String,
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the daemon's HTTP face, for the command line, tests and demo.
+//! A client of the daemon's HTTP API, for the command line, the tests and the demo.
 
 use crate::timer::Timer;
 use awc::http::{
@@ -11,37 +11,39 @@
     Serialize, //
 };
 
-/// Answers longer than this are not held in memory by this client.
+/// Length limit of a response body; a longer one is an error.
 const MAX_BODY_BYTES: usize = 128 << 20;
+/// Time that a request may take beyond the wait that it asks for.
 const CONNECT_SLACK_MS: u64 = 15_000;
 
-/// What a caller submits.
+/// The body of a submission.
 #[derive(Clone, Debug, Serialize)]
 pub struct Submit {
     /// Class of work.
     pub class: String,
-    /// Accelerators on each worker.
+    /// Number of accelerators on each worker.
     pub accelerators_per_worker: u16,
-    /// Workers of the gang.
+    /// Number of workers of the gang.
     pub workers: u16,
-    /// How close the workers have to be.
+    /// How close to each other the workers have to be.
     pub adjacency: crate::core::Adjacency,
-    /// Whether the job may be started again after it may have begun.
+    /// Whether the job may be started again although an earlier attempt may have
+    /// started.
     pub idempotent: bool,
-    /// The caller's estimate of the run time.
+    /// The caller's estimate of the run time, in milliseconds.
     pub declared_run_ms: u64,
-    /// What the task is given.
+    /// Input of the task.
     pub payload: String,
 }
 
 /// A response of the daemon.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Name of the job, if the response is its answer.
+    /// Name of the job, if the response is the answer of a job.
     pub job: Option<String>,
-    /// Its body.
+    /// Body of the response.
     pub body: Bytes,
 }
 
@@ -51,11 +53,11 @@
 pub struct ErrorBody {
     /// Name of the error.
     pub error: String,
-    /// What to do about it.
+    /// Description of the error and its remedy.
     pub message: String,
     /// Whether the job did not run and will not run.
     pub not_run: bool,
-    /// When to ask again.
+    /// Milliseconds after which a retry may succeed, if the daemon named a time.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -68,12 +70,12 @@
 }
 
 impl Response {
-    /// The body as an error's.
+    /// Decodes the body as an error; every field has its default if that fails.
     pub fn error(&self) -> ErrorBody {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The job that was accepted.
+    /// Returns the name of the accepted job; `None` if no job was accepted.
     pub fn accepted(&self) -> Option<String> {
         let body: AcceptedBody = serde_json::from_slice(&self.body).ok()?;
         (self.status == StatusCode::ACCEPTED).then_some(body.job)
@@ -86,17 +88,17 @@
     /// The daemon cannot be reached.
     #[error("{address} cannot be reached ({detail}); try another daemon")]
     Unreachable {
-        /// The address.
+        /// Address of the daemon.
         address: String,
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
-    /// The response did not come whole.
-    #[error("the response did not come whole; ask again with the same key")]
-    Cut,
+    /// No complete response arrived in time, or its body is too long.
+    #[error("no complete response arrived; retry with the same key")]
+    Incomplete,
 }
 
-/// A client of one daemon with one token; lives on one thread.
+/// A client of one daemon with one token. It stays on the thread that created it.
 #[derive(Clone)]
 pub struct Client {
     address: String,
@@ -106,7 +108,7 @@
 }
 
 impl Client {
-    /// A client of the daemon at `address`.
+    /// Creates a client of the daemon at `address`.
     pub fn open(address: &str, token: &str, timer: Timer) -> Self {
         Self {
             address: address.to_owned(),
@@ -116,11 +118,12 @@
         }
     }
 
-    /// Submits a job under the caller's own key and waits up to `wait_ms`.
+    /// Submits a job under the caller's idempotency key and waits up to `wait_ms` for
+    /// its answer.
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn submit(
         &self,
         key: &str,
@@ -133,11 +136,11 @@
             .await
     }
 
-    /// Explains a job.
+    /// Fetches the state of a job and the reason for it.
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn status(&self, job: &str) -> Result<Response, ClientError> {
         self.get(&format!("v1/jobs/{job}"), 0).await
     }
@@ -146,7 +149,7 @@
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn answer(&self, job: &str, wait_ms: u64) -> Result<Response, ClientError> {
         self.get(&format!("v1/jobs/{job}/answer?wait_ms={wait_ms}"), wait_ms)
             .await
@@ -156,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn cancel(&self, jobs: &[String]) -> Result<Response, ClientError> {
         #[derive(Serialize)]
         struct Body<'a> {
@@ -167,22 +170,22 @@
             .await
     }
 
-    /// Says what a patch would change.
+    /// Fetches what a configuration patch would change, without applying it.
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn plan(&self, patch: &str) -> Result<Response, ClientError> {
         let body = Bytes::copy_from_slice(patch.as_bytes());
         self.send(Method::POST, "v1/configuration/plan", None, body, 0)
             .await
     }
 
-    /// Submits a patch.
+    /// Submits a configuration patch.
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn apply(&self, patch: &str) -> Result<Response, ClientError> {
         let body = Bytes::copy_from_slice(patch.as_bytes());
         self.send(Method::POST, "v1/configuration/patches", None, body, 0)
@@ -193,17 +196,17 @@
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn drain(&self) -> Result<Response, ClientError> {
         self.send(Method::POST, "v1/drain", None, Bytes::new(), 0)
             .await
     }
 
-    /// Fetches a path.
+    /// Fetches `path`. `wait_ms` is how long the daemon may wait before it responds.
     ///
     /// # Errors
     ///
-    /// No whole response came.
+    /// The daemon cannot be reached, or no complete response arrived.
     pub async fn get(&self, path: &str, wait_ms: u64) -> Result<Response, ClientError> {
         self.send(Method::GET, path, None, Bytes::new(), wait_ms)
             .await
@@ -217,15 +220,15 @@
         body: Bytes,
         wait_ms: u64,
     ) -> Result<Response, ClientError> {
-        let limit_ms = wait_ms + CONNECT_SLACK_MS;
-        let sent = self.send_unlimited(method, path, key, body);
+        let timeout_ms = wait_ms + CONNECT_SLACK_MS;
+        let response = self.send_without_timeout(method, path, key, body);
         self.timer
-            .timeout(limit_ms, sent)
+            .timeout(timeout_ms, response)
             .await
-            .unwrap_or(Err(ClientError::Cut))
+            .unwrap_or(Err(ClientError::Incomplete))
     }
 
-    async fn send_unlimited(
+    async fn send_without_timeout(
         &self,
         method: Method,
         path: &str,
@@ -254,7 +257,7 @@
         Ok(Response {
             status,
             job,
-            body: body.map_err(|_| ClientError::Cut)?,
+            body: body.map_err(|_| ClientError::Incomplete)?,
         })
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! A scheduler for multi-accelerator jobs under client account guarantees.
+//! A scheduler that places jobs on the accelerators of many machines and guarantees
+//! capacity to client accounts.
 
 pub mod backend;
 pub mod cli;
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -1,6 +1,7 @@
-//! The timer service: the only part that reads the clock or sleeps.
+//! The timer service: reads the clock and sleeps on behalf of the whole process.
 //!
-//! Other parts ask it for the time, subscribe to ticks, or wait for a moment.
+//! The wall clock is read only here. Other modules ask this service for the time,
+//! subscribe to ticks, or wait until a given time.
 
 use rustix::time::{
     ClockId,
@@ -20,18 +21,21 @@
 };
 use tokio::sync::oneshot;
 
-/// How long the service sleeps when nothing is due.
+/// How long the service sleeps when nobody waits.
 const IDLE_MS: u64 = 60_000;
 
-/// The time was up before the future was ready.
+/// The timeout expired before the future was ready.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the time was up; try again")]
+#[error("the timeout expired; try again")]
 pub struct Elapsed;
 
-/// One subscriber's next moment; the rank only breaks ties.
-type Entry = Reverse<(u64, u64)>;
+/// The time at which a registration is due, and the registration's id, which orders
+/// registrations that are due at the same time. Reversed, as the heap returns the
+/// largest entry first.
+type Deadline = Reverse<(u64, u64)>;
 
-struct Waiting {
+/// A request to be woken at a time.
+struct Registration {
     at_ms: u64,
     wake: oneshot::Sender<u64>,
 }
@@ -41,12 +45,12 @@
 pub struct Timer {
     base_ms: u64,
     started_ms: u64,
-    register: mpsc::Sender<Waiting>,
+    register: mpsc::Sender<Registration>,
 }
 
 impl Timer {
-    /// Starts the service on a thread of its own; it ends when the last handle
-    /// is dropped.
+    /// Starts the service on its own thread, which ends when the last handle is
+    /// dropped.
     ///
     /// # Errors
     ///
@@ -66,40 +70,45 @@
         })
     }
 
-    /// Milliseconds since the Unix epoch; never goes back.
+    /// Returns the milliseconds since the Unix epoch; the value never decreases.
     pub fn now_ms(&self) -> u64 {
         now_ms(self.base_ms, self.started_ms)
     }
 
-    /// Waits for `delay_ms` and returns the time then.
+    /// Waits for `delay_ms` and returns the time of the wake-up.
     pub async fn sleep(&self, delay_ms: u64) -> u64 {
         self.sleep_until(self.now_ms() + delay_ms).await
     }
 
-    /// Waits until `at_ms`.
+    /// Waits until `at_ms` and returns the time of the wake-up.
     pub async fn sleep_until(&self, at_ms: u64) -> u64 {
         let (wake, woken) = oneshot::channel();
-        let registered = self.register.send(Waiting { at_ms, wake });
+        let registered = self.register.send(Registration { at_ms, wake });
         match registered {
             Ok(()) => woken.await.unwrap_or(at_ms),
             Err(_) => at_ms,
         }
     }
 
-    /// Waits for `future`, but no longer than `limit_ms`.
+    /// Waits for `future`, but no longer than `timeout_ms`.
     ///
     /// # Errors
     ///
-    /// The time was up first.
-    pub async fn timeout<F: Future>(&self, limit_ms: u64, future: F) -> Result<F::Output, Elapsed> {
+    /// The timeout expired first.
+    pub async fn timeout<F: Future>(
+        &self,
+        timeout_ms: u64,
+        future: F,
+    ) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            _ = self.sleep(limit_ms) => Err(Elapsed),
+            _ = self.sleep(timeout_ms) => Err(Elapsed),
         }
     }
 
-    /// Ticks every `period_ms`; a subscriber that is late skips ticks.
+    /// Returns ticks every `period_ms`, starting one period from now. A subscriber
+    /// that is late skips the ticks that it missed.
     pub fn interval(&self, period_ms: u64) -> Ticks {
         Ticks {
             timer: self.clone(),
@@ -129,38 +138,39 @@
     base_ms + since_boot_ms() - started_ms
 }
 
-/// Time since the machine started, suspensions included: a daemon on a VM that
-/// was suspended must see that its leases are old, which the monotonic clock
-/// does not show.
+/// Returns the milliseconds since the machine started, including the time that it was
+/// suspended. A daemon on a VM that was suspended must see that its leases are old,
+/// and the monotonic clock excludes that time.
 fn since_boot_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
 }
 
-fn run(base_ms: u64, started_ms: u64, registrations: &mpsc::Receiver<Waiting>) {
-    let mut due: BinaryHeap<Entry> = BinaryHeap::new();
+/// Runs the service until the last handle is dropped.
+fn run(base_ms: u64, started_ms: u64, registrations: &mpsc::Receiver<Registration>) {
+    let mut deadlines: BinaryHeap<Deadline> = BinaryHeap::new();
     let mut wakes: std::collections::HashMap<u64, oneshot::Sender<u64>> = Default::default();
-    let mut rank = 0;
+    let mut last_id = 0;
     loop {
         let now = now_ms(base_ms, started_ms);
-        while let Some(&Reverse((at_ms, at))) = due.peek() {
+        while let Some(&Reverse((at_ms, id))) = deadlines.peek() {
             if at_ms > now {
                 break;
             }
-            due.pop();
-            if let Some(wake) = wakes.remove(&at) {
-                // The subscriber may have stopped waiting.
+            deadlines.pop();
+            if let Some(wake) = wakes.remove(&id) {
+                // Sending fails if the subscriber has stopped waiting.
                 let _ = wake.send(now);
             }
         }
-        let wait_ms = due
+        let wait_ms = deadlines
             .peek()
             .map_or(IDLE_MS, |&Reverse((at_ms, _))| at_ms.saturating_sub(now));
         match registrations.recv_timeout(Duration::from_millis(wait_ms)) {
-            Ok(waiting) => {
-                rank += 1;
-                due.push(Reverse((waiting.at_ms, rank)));
-                wakes.insert(rank, waiting.wake);
+            Ok(registration) => {
+                last_id += 1;
+                deadlines.push(Reverse((registration.at_ms, last_id)));
+                wakes.insert(last_id, registration.wake);
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
--- a/src/unsent.rs
+++ b/src/unsent.rs
@@ -1,14 +1,18 @@
-//! Telling a call that was never sent from one that may have been carried out.
+//! Distinguishes an HTTP call that was never sent from one that may have been carried
+//! out.
 
 use awc::error::{
     ConnectError,
     SendRequestError, //
 };
 
-/// Whether nothing of a call left this process: no connection was opened. The
-/// library also calls it a failed connect when an open connection is closed
-/// before the answer; by then the call was sent, and taking it for refused
-/// told a caller that its job never runs while it ran.
+/// Returns whether no part of a call left this process because no connection was
+/// opened.
+///
+/// The library also reports a connect error, [`ConnectError::Disconnected`], when an
+/// open connection is closed before the answer. The call was already sent then: if it
+/// counted as refused, a caller would be told that its job never runs although it
+/// runs.
 pub fn was_never_sent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => false,
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -1,4 +1,5 @@
-//! The messages between daemons, and their way to and from the owner's.
+//! Messages between daemons, and their conversion to and from the requests, replies
+//! and worker updates of an owner.
 
 use crate::backend::{
     TaskBody,
@@ -24,15 +25,15 @@
 };
 use bytes::Bytes;
 
-/// One frame.
+/// One message of a connection.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// What it carries.
+    /// The content; `None` if its kind is unknown to this version.
     #[prost(oneof = "FrameKind", tags = "1, 2, 3, 4")]
     pub kind: Option<FrameKind>,
 }
 
-/// What a frame carries.
+/// The content of a frame.
 #[expect(
     clippy::large_enum_variant,
     reason = "a frame lives only while it is encoded or handled"
@@ -42,7 +43,7 @@
     /// The first frame of a connection.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// A daemon's sign of life.
+    /// A daemon's periodic heartbeat.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
     /// A request.
@@ -53,7 +54,7 @@
     Reply(ReplyFrame),
 }
 
-/// Who opens a connection.
+/// Identifies the daemon that opens a connection.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct Hello {
     /// Digest of the token that all daemons share.
@@ -64,41 +65,41 @@
     pub daemon: String,
 }
 
-/// A daemon's sign of life.
+/// A daemon's periodic report of its state to its peers.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct Heartbeat {
     /// The daemon's name.
     #[prost(string, tag = "1")]
     pub daemon: String,
-    /// Its epoch if it owns the data centre, else 0.
+    /// The daemon's epoch if it is the owner of its data centre, else 0.
     #[prost(uint64, tag = "2")]
     pub owner_epoch: u64,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the daemon.
     #[prost(uint64, tag = "3")]
     pub configuration_version: u64,
-    /// How long ago that version was confirmed to be the current one.
+    /// Time since that version was confirmed to be the current one, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub confirmed_age_ms: u64,
-    /// Whether it is draining.
+    /// Whether the daemon is draining.
     #[prost(bool, tag = "5")]
     pub draining: bool,
 }
 
-/// A request with the number that its reply carries back.
+/// A request with a number that its reply repeats.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RequestFrame {
     /// Number of the request on its connection.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// How often it was passed on.
+    /// How many times daemons have forwarded the request.
     #[prost(uint32, tag = "2")]
     pub hops: u32,
-    /// What is wanted.
+    /// The content of the request.
     #[prost(oneof = "RequestBody", tags = "3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<RequestBody>,
 }
 
-/// What is wanted.
+/// The content of a request.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum RequestBody {
     /// [`Request::Submit`].
@@ -119,10 +120,10 @@
     /// [`Request::Workers`].
     #[prost(bool, tag = "8")]
     Workers(bool),
-    /// A change on a worker, reported to the owner.
+    /// An update about a worker, for the owner.
     #[prost(message, tag = "9")]
     WorkerUpdate(WorkerUpdateBody),
-    /// The configuration in force at the peer.
+    /// Asks for the configuration in force at the peer.
     #[prost(bool, tag = "10")]
     Configuration(bool),
 }
@@ -133,7 +134,7 @@
     /// The job.
     #[prost(message, required, tag = "1")]
     pub submission: Submission,
-    /// When the entry got it from the caller.
+    /// When the front end received it from the caller, in Unix milliseconds.
     #[prost(uint64, tag = "2")]
     pub asked_ms: u64,
 }
@@ -141,7 +142,7 @@
 /// Jobs to cancel.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct CancelBody {
-    /// The account whose jobs they have to be.
+    /// The client account; jobs of other accounts are left alone.
     #[prost(string, tag = "1")]
     pub account: String,
     /// The jobs.
@@ -149,24 +150,25 @@
     pub jobs: Vec<u64>,
 }
 
-/// A change on a worker.
+/// An update about a worker.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WorkerUpdateBody {
     /// The worker's name.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// The change.
+    /// The update.
     #[prost(oneof = "NewsKind", tags = "2, 3, 4")]
     pub kind: Option<NewsKind>,
 }
 
-/// Kinds of changes on a worker; the name is bound to the attribute above.
+/// Kinds of updates about a worker. The attribute of [`WorkerUpdateBody::kind`]
+/// refers to this type by name.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum NewsKind {
     /// [`WorkerUpdate::Changes`].
     #[prost(message, tag = "2")]
     Changes(TasksBody),
-    /// [`WorkerUpdate::Silent`], in milliseconds.
+    /// [`WorkerUpdate::Silent`], with its duration in milliseconds.
     #[prost(uint64, tag = "3")]
     Silent(u64),
     /// [`WorkerUpdate::Seen`].
@@ -174,13 +176,13 @@
     Seen(SeenBody),
 }
 
-/// A worker that answers.
+/// Content of [`WorkerUpdate::Seen`]: the worker responded.
 #[derive(Clone, Copy, Eq, PartialEq, prost::Message)]
 pub struct SeenBody {
-    /// Its incarnation.
+    /// The worker's incarnation.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// Whether it is leaving.
+    /// Whether the worker reports that it is leaving.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
 }
@@ -188,15 +190,15 @@
 /// The reply to a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReplyFrame {
-    /// Number of the request.
+    /// Number of the request on its connection.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The reply.
+    /// The content of the reply.
     #[prost(oneof = "ReplyBody", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub body: Option<ReplyBody>,
 }
 
-/// The reply.
+/// The content of a reply.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ReplyBody {
     /// [`Reply::Accepted`].
@@ -229,10 +231,10 @@
     /// [`Reply::OutcomeUnknown`].
     #[prost(bool, tag = "11")]
     OutcomeUnknown(bool),
-    /// The news was taken in.
+    /// The owner has handled the worker update.
     #[prost(bool, tag = "12")]
     Taken(bool),
-    /// The configuration in force.
+    /// The configuration in force at the peer.
     #[prost(message, tag = "13")]
     Configuration(ConfigurationBody),
 }
@@ -240,10 +242,10 @@
 /// A refusal.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct RefusedBody {
-    /// Name of the reason.
+    /// Name of the [`RefusalReason`].
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// When to ask again; 0 for never.
+    /// Milliseconds after which submitting again may succeed; 0 for never.
     #[prost(uint64, tag = "2")]
     pub retry_after_ms: u64,
     /// Whether the job did not run and will not run.
@@ -251,13 +253,13 @@
     pub not_run: bool,
 }
 
-/// A job that has ended.
+/// The outcome of a job that has ended.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EndedBody {
-    /// The job.
+    /// The report of the job.
     #[prost(message, required, tag = "1")]
     pub report: JobReport,
-    /// Its answer.
+    /// The job's answer.
     #[prost(message, optional, tag = "2")]
     pub answer: Option<AnswerRecord>,
     /// Address of the worker that keeps the answer.
@@ -265,13 +267,13 @@
     pub answer_address: Option<String>,
 }
 
-/// The accounts.
+/// Reports on all accounts and on the data centre.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AccountsBody {
-    /// The accounts.
+    /// One report for each account.
     #[prost(message, repeated, tag = "1")]
     pub accounts: Vec<AccountReport>,
-    /// Fragmentation from 0 to 1.
+    /// Fragmentation of the data centre, from 0 to 1.
     #[prost(double, tag = "2")]
     pub fragmentation: f64,
     /// Version of the configuration in force.
@@ -279,18 +281,18 @@
     pub configuration_version: u64,
 }
 
-/// The workers.
+/// Reports on all workers.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WorkersBody {
-    /// The workers.
+    /// One report for each worker.
     #[prost(message, repeated, tag = "1")]
     pub workers: Vec<WorkerReport>,
 }
 
-/// A configuration, encoded as it is stored.
+/// A configuration in the encoding of the store.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct ConfigurationBody {
-    /// The stored value; empty if none is known.
+    /// The encoded configuration; empty if the daemon has none.
     #[prost(bytes = "bytes", tag = "1")]
     pub value: Bytes,
 }
@@ -324,7 +326,8 @@
 }
 
 impl RequestBody {
-    /// The owner's request, unless it is news or a question to the daemon.
+    /// Returns the request to the owner. Returns `None` for a worker update and for a
+    /// request to the daemon itself.
     pub fn into_request(self) -> Option<Request> {
         Some(match self {
             Self::Submit(body) => Request::Submit {
@@ -378,8 +381,9 @@
 }
 
 impl ReplyBody {
-    /// The owner's reply. A reason that this program does not know yet is
-    /// never passed on as a refusal.
+    /// Returns the owner's reply to a [`Request`]. Returns `None` for the reply to a
+    /// worker update and to a request for the configuration. A refusal with a reason
+    /// that this version does not know becomes [`Reply::OutcomeUnknown`].
     pub fn into_reply(self) -> Option<Reply> {
         Some(match self {
             Self::Accepted(job) => Reply::Accepted(JobId(job)),
@@ -413,7 +417,7 @@
 }
 
 impl WorkerUpdateBody {
-    /// Encodes news of `worker`.
+    /// Encodes an update about `worker`.
     pub fn new(worker: &str, update: &WorkerUpdate) -> Self {
         let kind = match update {
             WorkerUpdate::Changes(changes) => NewsKind::Changes(TasksBody {
@@ -434,7 +438,8 @@
         }
     }
 
-    /// Decodes the news.
+    /// Decodes the worker's name and the update; `None` if the kind of the update is
+    /// unknown to this version.
     pub fn into_update(self) -> Option<(String, WorkerUpdate)> {
         let update = match self.kind? {
             NewsKind::Changes(body) => {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons: length-delimited prost messages over TCP.
+//! Protocol between daemons: frames of length-delimited prost messages over TCP.
 
 mod codec;
 mod frame;
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The documents and the program agree.
+//! Checks that the pages and sample files in the repository agree with the program.
 
 use fuchsiaslip::cluster::StoredKind;
 use fuchsiaslip::core::RefusalReason;
@@ -32,7 +32,7 @@
         assert!(catalogue.contains(&row), "docs/EVENTS.md lacks: {row}");
         assert!(
             numbers.insert(event.number),
-            "E{:03} stands twice",
+            "E{:03} is the number of two events",
             event.number
         );
     }
@@ -43,7 +43,7 @@
     assert_eq!(
         rows,
         events::ALL.len(),
-        "the catalogue has rows of events that are gone"
+        "the catalogue has rows of events that do not exist"
     );
 }
 
@@ -58,30 +58,30 @@
     }
 }
 
-/// Someone reads `kind` and `reason` of a line and looks them up.
+/// Operators look up the `kind` and `reason` of a log line in the pages.
 #[test]
-fn every_kind_of_stored_value_is_in_the_pages() {
+fn every_kind_of_stored_value_and_every_reason_is_in_the_pages() {
     let (faults, operations) = (document("docs/FAULTS.md"), document("docs/OPERATIONS.md"));
     let entry = json!({ "service": "s", "address": "10.0.0.1:80", "zone": "z", "state": "ready",
         "capacity": { "cpu": 1, "mem_mb": 1 }, "labels": ["a"] });
-    let with = |field: &str, value: Value| {
+    let with_field = |field: &str, value: Value| {
         let mut entry = entry.clone();
         entry[field] = value;
         entry.to_string().into_bytes()
     };
-    let deep = format!("{}{}", "[".repeat(40), "]".repeat(40));
-    let wrong = [
+    let deeply_nested = format!("{}{}", "[".repeat(40), "]".repeat(40));
+    let invalid = [
         vec![b' '; MAX_ENTRY_BYTES + 1],
-        deep.into_bytes(),
+        deeply_nested.into_bytes(),
         vec![0xff],
         vec![b'{'],
         b"{}".to_vec(),
-        with("state", json!("down")),
-        with("service", json!("")),
-        with("zone", json!("")),
-        with("address", json!("nowhere")),
-        with("labels", json!([])),
-        with("slots", json!(-1)),
+        with_field("state", json!("down")),
+        with_field("service", json!("")),
+        with_field("zone", json!("")),
+        with_field("address", json!("nowhere")),
+        with_field("labels", json!([])),
+        with_field("slots", json!(-1)),
     ];
 
     for kind in StoredKind::ALL {
@@ -94,9 +94,13 @@
         );
     }
     let mut reasons = HashSet::from(["bad_name", "bad_job", "other_address"]);
-    for value in wrong {
-        let error = decode_worker("i-1", &value).expect_err("it is wrong");
-        assert!(reasons.insert(error.reason()), "twice: {}", error.reason());
+    for value in invalid {
+        let error = decode_worker("i-1", &value).expect_err("the value is invalid");
+        assert!(
+            reasons.insert(error.reason()),
+            "two values have the reason {}",
+            error.reason()
+        );
     }
     for reason in reasons {
         let name = format!("`{reason}`");
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn sample_settings_and_configuration_are_right() {
+fn sample_settings_and_configuration_are_valid() {
     let settings = Settings::parse(&document("examples/fuchsiaslipd.toml"));
     let patch: Result<fuchsiaslip::config::Patch, _> =
         toml::from_str(&document("examples/configuration.toml"));
@@ -119,13 +123,13 @@
 }
 
 #[test]
-fn wrong_settings_name_line_field_and_remedy() {
-    let right = document("examples/fuchsiaslipd.toml");
-    let unknown = Settings::parse(&format!("{right}\nsurprise = 1\n")).unwrap_err();
-    let short = Settings::parse(&right.replace("change-this-secret", "short")).unwrap_err();
+fn invalid_settings_are_reported_with_line_field_and_remedy() {
+    let valid = document("examples/fuchsiaslipd.toml");
+    let unknown = Settings::parse(&format!("{valid}\nsurprise = 1\n")).unwrap_err();
+    let short_token = Settings::parse(&valid.replace("change-this-secret", "short")).unwrap_err();
 
     assert_eq!(unknown[0].field, "surprise");
-    assert_eq!(unknown[0].line, right.lines().count() + 2);
-    assert_eq!(short[0].field, "peer_token");
-    assert!(short[0].line > 0 && short[0].remedy.contains("16 characters"));
+    assert_eq!(unknown[0].line, valid.lines().count() + 2);
+    assert_eq!(short_token[0].field, "peer_token");
+    assert!(short_token[0].line > 0 && short_token[0].remedy.contains("16 characters"));
 }
