--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,8 +1,8 @@
-//! One data centre on loopback: the stand-in platform and three daemons serve
-//! a mixed set of jobs while the daemon that owns the data centre dies.
+//! Runs one data centre on loopback: a stand-in platform and three daemons serve a mixed
+//! set of jobs, and the daemon that owns the data centre is killed on the way.
 //!
-//! Exits non-zero if an accepted job was lost, run twice or answered with
-//! another's answer.
+//! Exits with a non-zero code if a job got no answer or a wrong one, or if more than two
+//! runs of it finished. The largest gang that runs has two members.
 
 use fuchsiaslip::client::{
     Client,
@@ -34,11 +34,13 @@
 
 const DATA_CENTRE: &str = "zg-dubrava";
 const DAEMONS: usize = 3;
-const LONGEST_MS: u64 = 25_000;
-const KILL_AFTER_MS: u64 = 2_500;
+/// Time after which a job without an answer counts as lost.
+const JOB_TIMEOUT_MS: u64 = 25_000;
+/// Time from the first submission to the kill of the owner.
+const KILL_DELAY_MS: u64 = 2_500;
 const CONFIGURATION: &str = include_str!("configuration.toml");
 
-/// A job of the demo.
+/// A job that the demo submits at `submit_ms` after its start.
 #[derive(Clone)]
 struct Job {
     class: &'static str,
@@ -48,9 +50,10 @@
     idempotent: bool,
     run_ms: u64,
     answer_bytes: u64,
-    at_ms: u64,
+    submit_ms: u64,
 }
 
+/// Results of the jobs of one class.
 #[derive(Clone, Default)]
 struct Tally {
     accepted: usize,
@@ -86,7 +89,7 @@
         idempotent,
         run_ms,
         answer_bytes,
-        at_ms: 0,
+        submit_ms: 0,
     };
     let mut jobs = Vec::new();
     // Forecasts fill the data centre, the guaranteed shape included.
@@ -102,17 +105,18 @@
         );
         jobs.push(forecast);
     }
-    // A translation calls the guaranteed shape back.
+    // A translation reclaims the guaranteed shape.
     let translation = job("translation", "zadruga-token", 8, 2, true, 1_500, 200_000);
     jobs.push(Job {
-        at_ms: 1_000,
+        submit_ms: 1_000,
         ..translation
     });
-    // Fitment checks come all the time and run at most once.
+    // Fitment checks arrive throughout the demo and must not be started again, since they
+    // are not idempotent.
     for at in 0..60 {
         let fitment = job("fitment", "zadruga-token", 1, 1, false, 60, 300);
         jobs.push(Job {
-            at_ms: 500 + at * 100,
+            submit_ms: 500 + at * 100,
             ..fitment
         });
     }
@@ -121,16 +125,17 @@
     jobs
 }
 
-/// Submits one job and sees it through, also when daemons die on the way.
-async fn see_through(
+/// Submits one job and retries with each daemon in turn until the job is answered or
+/// refused for good, or its time is over.
+async fn submit_and_wait(
     at: usize,
     job: Job,
     daemons: Vec<String>,
     timer: Timer,
     tally: Rc<RefCell<BTreeMap<&'static str, Tally>>>,
 ) {
-    timer.sleep(job.at_ms).await;
-    let until_ms = timer.now_ms() + LONGEST_MS;
+    timer.sleep(job.submit_ms).await;
+    let until_ms = timer.now_ms() + JOB_TIMEOUT_MS;
     let task = TaskSpec {
         run_ms: job.run_ms,
         answer_bytes: job.answer_bytes,
@@ -148,12 +153,12 @@
     };
     let key = format!("demo-{at}");
     let mut accepted: Option<String> = None;
-    for turn in at.. {
+    for round in at.. {
         if timer.now_ms() > until_ms {
-            let lost = format!("job {at} has no answer after {LONGEST_MS} ms");
-            return note(&tally, job.class, |tally| tally.failures.push(lost));
+            let lost = format!("job {at} has no answer after {JOB_TIMEOUT_MS} ms");
+            return update_tally(&tally, job.class, |tally| tally.failures.push(lost));
         }
-        let client = Client::open(&daemons[turn % daemons.len()], job.token, timer.clone());
+        let client = Client::open(&daemons[round % daemons.len()], job.token, timer.clone());
         let response = match &accepted {
             None => client.submit(&key, &submit, 10_000).await,
             Some(name) => client.answer(name, 5_000).await,
@@ -167,11 +172,11 @@
             continue;
         }
         if response.status.is_success() {
-            return served(&client, &job, &task, &response, &tally).await;
+            return record_answer(&client, &job, &task, &response, &tally).await;
         }
         let error = response.error();
         if error.not_run && error.retry_after_ms.is_none() {
-            return note(&tally, job.class, |tally| {
+            return update_tally(&tally, job.class, |tally| {
                 *tally.refused.entry(error.error.clone()).or_default() += 1;
             });
         }
@@ -179,7 +184,8 @@
     }
 }
 
-fn note(
+/// Applies `change` to the tally of a class.
+fn update_tally(
     tally: &Rc<RefCell<BTreeMap<&'static str, Tally>>>,
     class: &'static str,
     change: impl FnOnce(&mut Tally),
@@ -187,7 +193,8 @@
     change(tally.borrow_mut().entry(class).or_default());
 }
 
-async fn served(
+/// Compares the answer of a job with the expected one and records the result.
+async fn record_answer(
     client: &Client,
     job: &Job,
     task: &TaskSpec,
@@ -196,27 +203,26 @@
 ) {
     let name = response.job.clone().unwrap_or_default();
     let expected = read_public_name(&name).map(|(_, id)| TaskSpec::answer(id, &task.payload()));
-    let right = expected.as_ref() == Some(&response.body);
+    let is_expected = expected.as_ref() == Some(&response.body);
     let report: fuchsiaslip::core::JobReport = match client.status(&name).await {
         Ok(status) => serde_json::from_slice(&status.body).unwrap_or_default(),
         Err(_) => Default::default(),
     };
-    note(tally, job.class, |tally| {
+    update_tally(tally, job.class, |tally| {
         tally.accepted += 1;
         tally.served += 1;
         tally.late += usize::from(report.ended_ms > report.deadline_ms);
         tally.preempted += report.preemptions;
-        if !right {
-            tally
-                .failures
-                .push(format!("{name} was answered with another answer"));
+        if !is_expected {
+            tally.failures.push(format!("{name} has a wrong answer"));
         }
     });
 }
 
+/// Applies the sample configuration, trying the daemons in turn.
 async fn configure(daemons: &[String], timer: &Timer) -> Result<(), String> {
-    for turn in 0..200 {
-        let address = &daemons[turn % daemons.len()];
+    for round in 0..200 {
+        let address = &daemons[round % daemons.len()];
         let client = Client::open(address, "operator-token", timer.clone());
         let applied = client.apply(CONFIGURATION).await;
         if applied.is_ok_and(|response| response.status.is_success()) {
@@ -227,27 +233,28 @@
     Err("the sample configuration was not accepted in 10 s".to_owned())
 }
 
-/// Says every second how far the jobs are.
+/// Prints every second how many jobs were answered or refused.
 async fn show_progress(
     tally: Rc<RefCell<BTreeMap<&'static str, Tally>>>,
     total: usize,
-    settled: Rc<Cell<bool>>,
+    is_settled: Rc<Cell<bool>>,
     timer: Timer,
 ) {
     let started_ms = timer.now_ms();
-    while !settled.get() {
+    while !is_settled.get() {
         let done: usize = tally
             .borrow()
             .values()
             .map(|tally| tally.served + tally.refused.values().sum::<usize>())
             .sum();
-        let after_ms = timer.now_ms() - started_ms + KILL_AFTER_MS;
+        let after_ms = timer.now_ms() - started_ms + KILL_DELAY_MS;
         println!("{after_ms:>5} ms: {done} of {total} jobs settled");
         timer.sleep(1_000).await;
     }
 }
 
-fn print(tally: &BTreeMap<&'static str, Tally>) -> usize {
+/// Prints the results by class and returns the number of failures.
+fn print_results(tally: &BTreeMap<&'static str, Tally>) -> usize {
     println!(
         "{:<12} {:>8} {:>7} {:>5} {:>10}  refused",
         "class", "accepted", "served", "late", "preempted"
@@ -265,8 +272,8 @@
     failures.len()
 }
 
-/// Runs that began for each job that may run once.
-fn doubled(platform: &Platform) -> usize {
+/// Returns the number of jobs of which more than two runs finished.
+fn count_double_runs(platform: &Platform) -> usize {
     let mut finished: BTreeMap<(u64, u32), usize> = BTreeMap::new();
     platform.each_worker(|worker| {
         for run in worker.runs.iter().filter(|run| run.finished) {
@@ -274,10 +281,11 @@
             *finished.entry(key).or_default() += 1;
         }
     });
-    // Only the translation has two members.
+    // The translation has two members, so that two finished runs of a job are accepted.
     finished.values().filter(|&&runs| runs > 2).count()
 }
 
+/// Submits all jobs, kills the owner and returns the number of failures and double runs.
 async fn run(platform: Platform, timer: Timer, running: &[Daemon]) -> Result<usize, String> {
     let daemons: Vec<String> = running.iter().map(|d| d.http_address.to_string()).collect();
     configure(&daemons, &timer).await?;
@@ -288,45 +296,46 @@
         .into_iter()
         .enumerate()
         .map(|(at, job)| {
-            let seen = see_through(at, job, daemons.clone(), timer.clone(), tally.clone());
-            actix_rt::spawn(seen)
+            let outcome = submit_and_wait(at, job, daemons.clone(), timer.clone(), tally.clone());
+            actix_rt::spawn(outcome)
         })
         .collect();
-    timer.sleep(KILL_AFTER_MS).await;
-    if let Some(at) = running.iter().position(Daemon::is_owner) {
+    timer.sleep(KILL_DELAY_MS).await;
+    if let Some(index) = running.iter().position(Daemon::is_owner) {
         let after_ms = timer.now_ms() - started_ms;
-        println!("{after_ms:>5} ms: killing daemon {}, the owner", at + 1);
-        running[at].kill();
+        println!("{after_ms:>5} ms: killing daemon {}, the owner", index + 1);
+        running[index].kill();
     }
     let total = callers.len();
-    let settled = Rc::new(Cell::new(false));
+    let is_settled = Rc::new(Cell::new(false));
     actix_rt::spawn(show_progress(
         tally.clone(),
         total,
-        settled.clone(),
+        is_settled.clone(),
         timer.clone(),
     ));
     for caller in callers {
         caller.await.map_err(|error| error.to_string())?;
     }
-    settled.set(true);
+    is_settled.set(true);
     println!("{:>5} ms: all settled", timer.now_ms() - started_ms);
-    let failures = print(&tally.borrow());
-    let doubled = doubled(&platform);
+    let failures = print_results(&tally.borrow());
+    let doubled = count_double_runs(&platform);
     println!("lost or wrong: {failures}, run twice: {doubled}");
     Ok(failures + doubled)
 }
 
+/// Starts the platform and the daemons and runs the demo on them.
 fn demo() -> Result<usize, String> {
-    let text = |error: std::io::Error| error.to_string();
-    let timer = Timer::spawn().map_err(text)?;
+    let to_text = |error: std::io::Error| error.to_string();
+    let timer = Timer::spawn().map_err(to_text)?;
     let fleet = Fleet {
         data_centre: DATA_CENTRE.to_owned(),
         workers: 12,
         rack_size: 6,
         accelerators: 8,
     };
-    let platform = Platform::spawn(timer.clone(), &[fleet]).map_err(text)?;
+    let platform = Platform::spawn(timer.clone(), &[fleet]).map_err(to_text)?;
     let running = (1..=DAEMONS)
         .map(|at| start_daemon(at, &platform, &timer))
         .collect::<Result<Vec<_>, _>>()?;
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -1,4 +1,6 @@
-//! The stand-in platform as a process of its own, to try the daemon by hand.
+//! Runs the stand-in platform as a process of its own, to try daemons by hand.
+//!
+//! The arguments are the address, the data centre, the number of workers and the daemons:
 //!
 //! `cargo run --example platform -- 127.0.0.1:7000 zg-dubrava 50 NAME=PEER_ADDRESS...`
 
@@ -10,9 +12,9 @@
 
 fn main() -> std::io::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let argument = |at: usize, default: &str| {
-        let given = arguments.get(at).cloned();
-        given.unwrap_or_else(|| default.to_owned())
+    let argument = |index: usize, default: &str| {
+        let value = arguments.get(index).cloned();
+        value.unwrap_or_else(|| default.to_owned())
     };
     let data_centre = argument(1, "zg-dubrava");
     let fleet = Fleet {
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! What can be typed.
+//! Defines the arguments and subcommands of the command line.
 
 use argh::FromArgs;
 use std::path::PathBuf;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Implements the command line program `fuchsiaslip`.
 
 mod arguments;
 mod output;
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Printing for people and for scripts.
+//! Formats reports as text for people and scripts.
 
 use crate::cluster::FleetReport;
 use crate::core::{
@@ -22,7 +22,9 @@
 
 const PERCENT: f64 = 100.0;
 
-/// A job as text.
+/// Formats the report of a job, with the reason for its wait if `why` is set.
+///
+/// Returns `None` if `body` is not a job report.
 pub fn job(body: &[u8], why: bool) -> Option<String> {
     let report: JobReport = serde_json::from_slice(body).ok()?;
     let mut text = format!(
@@ -52,7 +54,9 @@
     Some(text)
 }
 
-/// Accounts as a table.
+/// Formats the report of a data centre's accounts as a table.
+///
+/// Returns `None` if `body` is not such a report.
 pub fn accounts(body: &[u8]) -> Option<String> {
     let body: AccountsBody = serde_json::from_slice(body).ok()?;
     let mut text = format!(
@@ -82,7 +86,9 @@
     Some(text)
 }
 
-/// Workers as a table.
+/// Formats the report of a data centre's workers as a table.
+///
+/// Returns `None` if `body` is not such a report.
 pub fn workers(body: &[u8]) -> Option<String> {
     let body: WorkersBody = serde_json::from_slice(body).ok()?;
     let mut text = format!(
@@ -98,7 +104,7 @@
     Some(text)
 }
 
-/// A fleet on an operators' platform as text.
+/// Formats the report of a fleet that uses the store of an operators' platform.
 pub fn fleet(report: &FleetReport) -> String {
     let mut text = format!(
         "owner {} at {}, epoch {}\n\
@@ -133,7 +139,7 @@
         text += &format!("daemon {daemon} at {address}\n");
     }
     for value in &report.unused {
-        // A key of another writer may hold anything.
+        // Other programs may have written the key, so its characters are escaped.
         text += &format!(
             "not used {:?}, revision {}: {} {}\n  {}\n",
             value.key, value.revision, value.reason, value.problem, value.done
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out what was typed.
+//! Runs the commands of the command line and returns their exit codes.
 
 use super::arguments::{
     Arguments,
@@ -44,7 +44,7 @@
 const EXIT_UNKNOWN: u8 = 4;
 const EXIT_NOT_FOUND: u8 = 5;
 
-/// Why a command failed.
+/// Errors that end a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file cannot be read.
@@ -52,43 +52,43 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// An argument has a value that is not taken.
+    /// An argument has an invalid value.
     #[error("{argument} cannot be `{value}`; use {choices}")]
     Argument {
         /// The argument.
         argument: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: String,
-        /// What it takes.
+        /// Description of the valid values.
         choices: &'static str,
     },
-    /// The timer or the output cannot be had.
-    #[error("the system refuses: {0}")]
+    /// The timer's thread cannot be started, or standard output cannot be written.
+    #[error("cannot start the timer or write the output: {0}")]
     System(#[from] std::io::Error),
-    /// The daemon did not respond.
+    /// The daemon returned no complete response.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The store did not answer.
+    /// The platform's key-value service, which holds the ledger, did not answer.
     #[error(transparent)]
     Store(#[from] StoreFailure),
-    /// The platform's store did not answer.
+    /// The store of the operators' platform did not answer.
     #[error(transparent)]
     Fleet(#[from] StoreError),
-    /// A ledger value cannot be read.
+    /// A ledger value cannot be decoded.
     #[error("{key}: {source}")]
     Ledger {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// Why.
+        /// Reason from the decoder.
         source: ledger::EnvelopeError,
     },
     /// A ledger value is missing.
     #[error("{key} is missing; no daemon has owned the data centre, or its name is wrong")]
     Missing {
-        /// Its key.
+        /// Key of the value.
         key: String,
     },
 }
@@ -104,10 +104,10 @@
     }
 }
 
-/// Runs the command line and gives its exit code.
+/// Runs the command that the process's arguments ask for and returns its exit code.
 pub fn run() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    match actix_rt::System::new().block_on(carry_out(&arguments)) {
+    match actix_rt::System::new().block_on(execute(&arguments)) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("{error}");
@@ -116,10 +116,10 @@
     }
 }
 
-async fn carry_out(arguments: &Arguments) -> Result<ExitCode, Error> {
+async fn execute(arguments: &Arguments) -> Result<ExitCode, Error> {
     let timer = Timer::spawn()?;
     let token = match &arguments.token_file {
-        Some(path) => read(path)?.trim().to_owned(),
+        Some(path) => read_file(path)?.trim().to_owned(),
         None => String::new(),
     };
     let client = Client::open(&arguments.daemon, &token, timer.clone());
@@ -128,8 +128,8 @@
         Command::Status(command) => client.status(&command.job).await?,
         Command::Answer(command) => client.answer(&command.job, command.wait_ms).await?,
         Command::Cancel(command) => client.cancel(&command.jobs).await?,
-        Command::Plan(command) => client.plan(&read(&command.patch)?).await?,
-        Command::Apply(command) => client.apply(&read(&command.patch)?).await?,
+        Command::Plan(command) => client.plan(&read_file(&command.patch)?).await?,
+        Command::Apply(command) => client.apply(&read_file(&command.patch)?).await?,
         Command::Configuration(_) => client.get("v1/configuration", 0).await?,
         Command::Workers(command) => {
             client
@@ -149,10 +149,10 @@
             return Ok(ExitCode::SUCCESS);
         }
     };
-    show(arguments, &response)
+    print_response(arguments, &response)
 }
 
-fn read(path: &Path) -> Result<String, Error> {
+fn read_file(path: &Path) -> Result<String, Error> {
     std::fs::read_to_string(path).map_err(|source| Error::File {
         path: path.to_owned(),
         source,
@@ -186,7 +186,8 @@
         .await?)
 }
 
-fn show(arguments: &Arguments, response: &Response) -> Result<ExitCode, Error> {
+/// Prints the response and returns the exit code for its status.
+fn print_response(arguments: &Arguments, response: &Response) -> Result<ExitCode, Error> {
     if !response.status.is_success() {
         let error = response.error();
         match arguments.json || error.error.is_empty() {
@@ -220,6 +221,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Checks the ledger of a data centre in the store, and prints its jobs and changes if
+/// the action is `dump`.
 async fn inspect_ledger(command: &LedgerCommand, timer: Timer) -> Result<ExitCode, Error> {
     let dump = match command.action.as_str() {
         "check" => false,
@@ -234,7 +237,7 @@
     };
     let store = HttpPlatform::open(&command.platform, timer).store();
     let key = ledger::root_key(&command.data_centre);
-    let value = fetch(&store, &key).await?;
+    let value = fetch_value(&store, &key).await?;
     let root = ledger::decode_root(value).map_err(|source| Error::Ledger { key, source })?;
     println!(
         "epoch {}, commit {}, owner {}, configuration version {}, {} pages, {} changes since",
@@ -247,7 +250,7 @@
     );
     for reference in &root.pages {
         let key = ledger::page_key(&command.data_centre, reference.number, reference.slot);
-        let value = fetch(&store, &key).await?;
+        let value = fetch_value(&store, &key).await?;
         let page = ledger::decode_page(value, reference);
         let page = page.map_err(|source| Error::Ledger { key, source })?;
         println!("page {}: {} jobs", reference.number, page.jobs.len());
@@ -261,6 +264,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Prints what the store of an operators' platform holds of the fleet, or of one job.
 async fn show_fleet(command: &FleetCommand, timer: Timer) -> Result<ExitCode, Error> {
     let Some(name) = &command.job else {
         let report = inspect_fleet(&command.store, timer).await?;
@@ -284,7 +288,7 @@
     }
 }
 
-async fn fetch(store: &Store, key: &str) -> Result<Bytes, Error> {
+async fn fetch_value(store: &Store, key: &str) -> Result<Bytes, Error> {
     let key = key.to_owned();
     match store.call(StoreCall::Get { key: key.clone() }).await? {
         StoreAnswer::Value { value, .. } => Ok(value),
--- a/src/config/declaration.rs
+++ b/src/config/declaration.rs
@@ -1,4 +1,4 @@
-//! What operators declare, as it stands in TOML under version control.
+//! Defines the declarations that operators write in TOML.
 
 use crate::core::{
     Adjacency,
@@ -9,16 +9,16 @@
     Serialize, //
 };
 
-/// Completion time of work whose class was withdrawn.
+/// Completion time of jobs whose class is no longer declared: one day.
 const WITHDRAWN_COMPLETION_MS: u64 = 24 * 3_600_000;
 
-/// How much each of the users' two measures counts when placements compete.
+/// Weights of the two measures by which placements are compared.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Weight of completion time against class.
+    /// Weight of completion times, against the time agreed for each class.
     pub completion: f64,
-    /// Weight of fragmentation.
+    /// Weight of the fragmentation of free accelerators.
     pub fragmentation: f64,
 }
 
@@ -37,27 +37,29 @@
 pub struct ClassDeclaration {
     /// Name by which jobs refer to the class.
     pub name: String,
-    /// Agreed time from acceptance to answer.
+    /// Agreed time from the acceptance of a job to its answer, in milliseconds.
     pub completion_ms: u64,
-    /// Starts at once, taking accelerators from reclaimable work if need be.
+    /// Whether jobs start at once, preempting reclaimable work if necessary.
     #[serde(default)]
     pub urgent: bool,
-    /// May call the account's guaranteed shape back from lent capacity.
+    /// Whether jobs may reclaim the account's guaranteed shape where it is lent out.
     #[serde(default)]
     pub reclaims: bool,
-    /// May run on lent capacity and be preempted after a checkpoint.
+    /// Whether jobs may run on lent capacity, where they may be preempted after a
+    /// checkpoint.
     #[serde(default)]
     pub reclaimable: bool,
-    /// Time a preempted task has for its checkpoint before it is stopped.
+    /// Time that a preempted task has for its checkpoint before it is stopped, in
+    /// milliseconds.
     #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
-    /// Preemptions after which a job runs only where nothing can preempt it.
+    /// Number of preemptions after which a job runs only where nothing can preempt it.
     #[serde(default = "default_max_preemptions")]
     pub max_preemptions: u32,
-    /// Refuse at submission what cannot make its completion time.
+    /// Whether a job that cannot meet its completion time is refused at submission.
     #[serde(default)]
     pub refuse_when_late: bool,
-    /// Most jobs of the class that may wait in one data centre.
+    /// Maximum number of jobs of the class that may wait in one data centre.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
 }
@@ -74,21 +76,21 @@
     10_000
 }
 
-/// A shape that an account can always have back in one data centre.
+/// A shape that an account can always get back in one data centre.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GuaranteeDeclaration {
-    /// Where the shape stands.
+    /// Data centre of the shape.
     pub data_centre: String,
     /// Accelerators on each worker.
     pub accelerators_per_worker: u16,
-    /// Workers of the shape.
+    /// Number of workers of the shape.
     #[serde(default = "one_worker")]
     pub workers: u16,
-    /// How close the workers are.
+    /// How close together the workers must be.
     #[serde(default)]
     pub adjacency: Adjacency,
-    /// How many of the shape.
+    /// Number of such shapes.
     #[serde(default = "one_shape")]
     pub count: u16,
 }
@@ -102,8 +104,8 @@
 }
 
 impl ClassDeclaration {
-    /// What stands in for a class that was withdrawn while jobs of it live:
-    /// nothing is preempted for it and it is never preempted.
+    /// Returns the substitute for a class that is no longer declared while jobs of it
+    /// still exist. Its jobs preempt nothing and are never preempted.
     pub fn withdrawn(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -120,7 +122,8 @@
 }
 
 impl AccountDeclaration {
-    /// What stands in for an account that was withdrawn while its jobs live.
+    /// Returns the substitute for an account that is no longer declared while jobs of
+    /// it still exist.
     pub fn withdrawn(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -136,7 +139,7 @@
 }
 
 impl GuaranteeDeclaration {
-    /// The guaranteed shape.
+    /// Returns the guaranteed shape.
     pub fn shape(&self) -> Shape {
         Shape {
             accelerators_per_worker: self.accelerators_per_worker,
@@ -154,21 +157,21 @@
     pub name: String,
     /// SHA-256 of the account's bearer token, in hexadecimal.
     pub token_sha256: String,
-    /// Data centres that hold the account's jobs; fixed once declared, since
-    /// the home of an idempotency key is computed from it.
+    /// Data centres that hold the account's jobs. They cannot change once declared,
+    /// since the home data centre of an idempotency key is computed from them.
     pub data_centres: Vec<String>,
-    /// Most accelerators in use at a time in one data centre.
+    /// Maximum number of accelerators in use at a time in one data centre.
     pub quota_accelerators: u32,
-    /// Most jobs that may wait in one data centre.
+    /// Maximum number of jobs that may wait in one data centre.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Weight of the account's share of the surplus.
+    /// Weight by which the account shares the surplus with other accounts.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// Retries after failures that the account may draw in a minute.
+    /// Maximum number of retries after failures per minute.
     #[serde(default = "default_retries_per_minute")]
     pub retries_per_minute: u32,
-    /// Shapes that the account can always have back.
+    /// Shapes that the account can always get back.
     #[serde(default)]
     pub guarantees: Vec<GuaranteeDeclaration>,
 }
@@ -185,20 +188,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorDeclaration {
-    /// Name that history shows.
+    /// Name that the history shows.
     pub name: String,
     /// SHA-256 of the operator's bearer token, in hexadecimal.
     pub token_sha256: String,
 }
 
-/// The whole declaration, the content of one numbered version.
+/// Everything that operators declare: the content of one numbered version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Declaration {
     /// Weights of the two measures.
     #[serde(default)]
     pub weights: Weights,
-    /// Who may change the configuration.
+    /// Operators, who may change the configuration.
     #[serde(default, rename = "operator")]
     pub operators: Vec<OperatorDeclaration>,
     /// Classes of work.
@@ -210,17 +213,17 @@
 }
 
 impl Declaration {
-    /// The account of `name`.
+    /// Returns the account called `name`.
     pub fn account(&self, name: &str) -> Option<&AccountDeclaration> {
         self.accounts.iter().find(|account| account.name == name)
     }
 
-    /// The class of `name`.
+    /// Returns the class called `name`.
     pub fn class(&self, name: &str) -> Option<&ClassDeclaration> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// Guarantees that stand in `data_centre`, with their account.
+    /// Returns the guarantees in `data_centre`, each with its account.
     pub fn guarantees_in<'a>(
         &'a self,
         data_centre: &'a str,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,7 @@
-//! The operators' declarations: classes, client accounts and weights.
+//! Defines the operators' configuration and the patches that change it.
+//!
+//! A configuration declares operators, classes of work, client accounts with their
+//! guarantees, and weights. Every accepted patch makes the next numbered version.
 
 mod declaration;
 mod patch;
--- a/src/config/patch.rs
+++ b/src/config/patch.rs
@@ -1,4 +1,7 @@
-//! Patches against a numbered version: whole, or refused with every reason.
+//! Applies operators' patches to the configuration.
+//!
+//! A patch names the version that it was written against. It is applied as a whole,
+//! or refused with every reason at once.
 
 use super::{
     AccountDeclaration,
@@ -13,7 +16,7 @@
 };
 use std::collections::HashSet;
 
-/// How many accepted patches a configuration value remembers.
+/// Number of accepted patches that a configuration keeps in its history.
 const HISTORY_LENGTH: usize = 64;
 const SHA256_HEX_LENGTH: usize = 64;
 
@@ -21,7 +24,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// The operator's own name for the patch; submitting it twice is safe.
+    /// Name that the operator gives to the patch. It makes submitting the patch twice
+    /// safe.
     pub id: String,
     /// The version that the patch was written against.
     pub base_version: u64,
@@ -51,33 +55,33 @@
 /// One accepted patch in the history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PatchSummary {
-    /// The version that the patch made.
+    /// The version that the patch created.
     pub version: u64,
-    /// The patch's own name.
+    /// The name that the operator gave to the patch.
     pub id: String,
     /// The operator who submitted it.
     pub operator: String,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// What it changed, a line each.
+    /// Descriptions of the changes, one line each.
     pub changes: Vec<String>,
 }
 
-/// The stored configuration: one numbered version with its recent history.
+/// The stored configuration: one numbered version and the latest patches up to it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Configuration {
-    /// Number of this version; it only grows.
+    /// Number of this version. Each accepted patch increases it by one.
     pub version: u64,
     /// The declaration in force.
     pub declaration: Declaration,
-    /// The latest accepted patches, oldest first.
+    /// The most recently accepted patches, oldest first.
     pub history: Vec<PatchSummary>,
 }
 
-/// Why a patch is refused; the message names the remedy.
+/// Reasons to refuse a patch. Each message names the remedy.
 #[derive(Clone, Debug, thiserror::Error, Eq, PartialEq)]
 pub enum PatchProblem {
-    /// Another operator's patch came first.
+    /// The patch was written against another version than the one in force.
     #[error(
         "the patch is against version {base} but version {current} is in force; \
          changed since: {changed}; rebase the patch on version {current}"
@@ -90,44 +94,44 @@
         /// What the versions in between changed.
         changed: String,
     },
-    /// The patch has no name of its own.
+    /// The patch has no id.
     #[error("the patch has no id; give it one, so that submitting it twice is safe")]
     NoId,
-    /// Two entries carry one name.
+    /// Two entries of one kind have the same name.
     #[error("{kind} `{name}` is declared twice; keep one of them")]
     Duplicate {
         /// Kind of the entry.
         kind: &'static str,
-        /// Name that stands twice.
+        /// The duplicate name.
         name: String,
     },
-    /// An entry to remove is not there.
-    #[error("{kind} `{name}` is not declared; take it out of the removals")]
+    /// An entry to remove is not declared.
+    #[error("{kind} `{name}` is not declared; delete it from the list of entries to remove")]
     Unknown {
         /// Kind of the entry.
         kind: &'static str,
-        /// Name that was not found.
+        /// The undeclared name.
         name: String,
     },
     /// A token digest is not a SHA-256 in hexadecimal.
     #[error("`{name}` has a token_sha256 that is not 64 hexadecimal digits; use `sha256sum`")]
     TokenDigest {
-        /// Account or operator.
+        /// Name of the account or operator.
         name: String,
     },
-    /// A field has a value that cannot work.
+    /// A field has an invalid value.
     #[error("{kind} `{name}`: {field} is out of range; {remedy}")]
     OutOfRange {
         /// Kind of the entry.
         kind: &'static str,
         /// Name of the entry.
         name: String,
-        /// Field with the value.
+        /// The field, or the fields that contradict each other.
         field: &'static str,
         /// What to write instead.
         remedy: &'static str,
     },
-    /// The account's home data centres were changed.
+    /// The data centres of an account were changed.
     #[error(
         "account `{account}`: data_centres is fixed once declared, because an idempotency key's \
          home is computed from it; declare a new account instead"
@@ -136,67 +140,69 @@
         /// The account.
         account: String,
     },
-    /// A guarantee stands outside the account's data centres.
+    /// A guarantee is in a data centre that is not one of the account's.
     #[error(
         "account `{account}` has a guarantee in `{data_centre}`, which is not among its \
          data_centres; add it when the account is created"
     )]
-    GuaranteeElsewhere {
+    GuaranteeOutsideAccount {
         /// The account.
         account: String,
-        /// Where the guarantee stands.
+        /// Data centre of the guarantee.
         data_centre: String,
     },
-    /// No assignment of accelerators satisfies all guarantees together.
+    /// No assignment of accelerators satisfies all guarantees of a data centre at once.
     #[error(
-        "account `{account}`: {missing} of its guaranteed shapes cannot be had in \
-         `{data_centre}` beside the other guarantees; lower a count or add workers"
+        "account `{account}`: {missing} of its guaranteed shapes do not fit in \
+         `{data_centre}` together with the other guarantees; lower a count or add workers"
     )]
     NoWitness {
-        /// The account that cannot fit.
+        /// The account whose guarantees are not all satisfied.
         account: String,
-        /// Where it does not fit.
+        /// The data centre that is too small.
         data_centre: String,
-        /// How many shapes lack a place.
+        /// Number of guaranteed shapes that do not fit.
         missing: u16,
     },
-    /// The platform's list of the data centre's workers cannot be had.
+    /// The platform did not return the list of the data centre's workers.
     #[error(
-        "the workers of `{data_centre}` are not known now, so its guarantees cannot be checked; \
+        "the workers of `{data_centre}` are currently unknown, so its guarantees cannot be checked; \
          submit the patch again"
     )]
     FleetUnknown {
         /// The data centre.
         data_centre: String,
     },
-    /// Nobody could change the configuration any more.
+    /// The patch leaves no operator, so that nobody could change the configuration
+    /// afterwards.
     #[error("the patch would leave no operator; keep at least one")]
     NoOperator,
 }
 
 impl Configuration {
-    /// Whether a patch of that id was accepted, and in which version.
+    /// Returns the summary of the accepted patch with the id `patch_id`, if the history
+    /// still contains it.
     pub fn accepted(&self, patch_id: &str) -> Option<&PatchSummary> {
         self.history.iter().find(|summary| summary.id == patch_id)
     }
 
-    /// The next version after `patch`.
+    /// Returns the version that `patch` makes of this one.
     ///
     /// # Errors
     ///
-    /// All reasons at once why the patch is refused; nothing of it is taken.
+    /// Returns every reason for which the patch is refused. No part of it is applied then.
     pub fn apply(
         &self,
         patch: &Patch,
         operator: &str,
         accepted_ms: u64,
     ) -> Result<Configuration, Vec<PatchProblem>> {
-        let mut problems = self.conflict(patch);
+        let mut problems = self.check_id_and_version(patch);
         problems.extend(self.unknown_removals(patch));
-        problems.extend(duplicates(patch));
-        problems.extend(self.moved_accounts(patch));
-        let declaration = self.changed(patch);
-        problems.extend(check(&declaration));
+        problems.extend(duplicate_names(patch));
+        problems.extend(self.changed_data_centres(patch));
+        let declaration = self.patched_declaration(patch);
+        problems.extend(check_declaration(&declaration));
         if !problems.is_empty() {
             return Err(problems);
         }
@@ -209,8 +215,8 @@
             accepted_ms,
             changes: self.changes(patch),
         });
-        let surplus = history.len().saturating_sub(HISTORY_LENGTH);
-        history.drain(..surplus);
+        let excess = history.len().saturating_sub(HISTORY_LENGTH);
+        history.drain(..excess);
         Ok(Configuration {
             version,
             declaration,
@@ -218,7 +224,7 @@
         })
     }
 
-    /// What `patch` would change, a line each.
+    /// Describes what `patch` would change, one line per change.
     pub fn changes(&self, patch: &Patch) -> Vec<String> {
         let mut lines = Vec::new();
         if let Some(weights) = patch.weights {
@@ -230,21 +236,21 @@
                 weights.fragmentation
             ));
         }
-        describe(
+        describe_upserts(
             &mut lines,
             "operator",
             &self.declaration.operators,
             &patch.operators,
             |entry| &entry.name,
         );
-        describe(
+        describe_upserts(
             &mut lines,
             "class",
             &self.declaration.classes,
             &patch.classes,
             |entry| &entry.name,
         );
-        describe(
+        describe_upserts(
             &mut lines,
             "account",
             &self.declaration.accounts,
@@ -257,13 +263,13 @@
         lines
     }
 
-    fn conflict(&self, patch: &Patch) -> Vec<PatchProblem> {
+    fn check_id_and_version(&self, patch: &Patch) -> Vec<PatchProblem> {
         let mut problems = Vec::new();
         if patch.id.is_empty() {
             problems.push(PatchProblem::NoId);
         }
         if patch.base_version != self.version {
-            let since: Vec<String> = self
+            let later_changes: Vec<String> = self
                 .history
                 .iter()
                 .filter(|summary| summary.version > patch.base_version)
@@ -272,14 +278,14 @@
             problems.push(PatchProblem::Conflict {
                 base: patch.base_version,
                 current: self.version,
-                changed: since.join("; "),
+                changed: later_changes.join("; "),
             });
         }
         problems
     }
 
     fn unknown_removals(&self, patch: &Patch) -> Vec<PatchProblem> {
-        let declared = |kind: &str, name: &String| match kind {
+        let is_declared = |kind: &str, name: &String| match kind {
             "operator" => self.declaration.operators.iter().any(|o| o.name == *name),
             "class" => self.declaration.class(name).is_some(),
             _ => self.declaration.account(name).is_some(),
@@ -288,7 +294,7 @@
             .removals()
             .into_iter()
             .flat_map(|(kind, names)| names.iter().map(move |name| (kind, name)))
-            .filter(|(kind, name)| !declared(kind, name))
+            .filter(|(kind, name)| !is_declared(kind, name))
             .map(|(kind, name)| PatchProblem::Unknown {
                 kind,
                 name: name.clone(),
@@ -296,7 +302,7 @@
             .collect()
     }
 
-    fn moved_accounts(&self, patch: &Patch) -> Vec<PatchProblem> {
+    fn changed_data_centres(&self, patch: &Patch) -> Vec<PatchProblem> {
         patch
             .accounts
             .iter()
@@ -311,23 +317,24 @@
             .collect()
     }
 
-    fn changed(&self, patch: &Patch) -> Declaration {
+    /// Returns the declaration with the changes of `patch`, unchecked.
+    fn patched_declaration(&self, patch: &Patch) -> Declaration {
         let before = &self.declaration;
         Declaration {
             weights: patch.weights.unwrap_or(before.weights),
-            operators: merged(
+            operators: merge_entries(
                 &before.operators,
                 &patch.operators,
                 &patch.remove_operators,
                 |entry| &entry.name,
             ),
-            classes: merged(
+            classes: merge_entries(
                 &before.classes,
                 &patch.classes,
                 &patch.remove_classes,
                 |entry| &entry.name,
             ),
-            accounts: merged(
+            accounts: merge_entries(
                 &before.accounts,
                 &patch.accounts,
                 &patch.remove_accounts,
@@ -338,6 +345,7 @@
 }
 
 impl Patch {
+    /// Returns the names of the entries to remove, by kind.
     fn removals(&self) -> [(&'static str, &Vec<String>); 3] {
         [
             ("operator", &self.remove_operators),
@@ -347,20 +355,22 @@
     }
 }
 
-fn merged<T: Clone>(
+/// Returns `before` without the removed and replaced entries, followed by `upserts`.
+fn merge_entries<T: Clone>(
     before: &[T],
     upserts: &[T],
     removals: &[String],
     name: impl Fn(&T) -> &String,
 ) -> Vec<T> {
-    let replaced = |entry: &&T| {
+    let is_kept = |entry: &&T| {
         !removals.contains(name(entry)) && !upserts.iter().any(|new| name(new) == name(entry))
     };
-    let kept = before.iter().filter(replaced).cloned();
-    kept.chain(upserts.iter().cloned()).collect()
+    let unchanged = before.iter().filter(is_kept).cloned();
+    unchanged.chain(upserts.iter().cloned()).collect()
 }
 
-fn describe<T: PartialEq>(
+/// Adds a line to `lines` for each entry that `upserts` adds (`+`) or changes (`~`).
+fn describe_upserts<T: PartialEq>(
     lines: &mut Vec<String>,
     kind: &str,
     before: &[T],
@@ -376,8 +386,11 @@
     }
 }
 
-fn duplicates(patch: &Patch) -> Vec<PatchProblem> {
-    fn twice<'a>(kind: &'static str, names: impl Iterator<Item = &'a String>) -> Vec<PatchProblem> {
+fn duplicate_names(patch: &Patch) -> Vec<PatchProblem> {
+    fn duplicates_of<'a>(
+        kind: &'static str,
+        names: impl Iterator<Item = &'a String>,
+    ) -> Vec<PatchProblem> {
         let mut seen = HashSet::new();
         names
             .filter(|name| !seen.insert(name.as_str()))
@@ -387,13 +400,19 @@
             })
             .collect()
     }
-    let mut problems = twice("operator", patch.operators.iter().map(|e| &e.name));
-    problems.extend(twice("class", patch.classes.iter().map(|e| &e.name)));
-    problems.extend(twice("account", patch.accounts.iter().map(|e| &e.name)));
+    let mut problems = duplicates_of("operator", patch.operators.iter().map(|e| &e.name));
+    problems.extend(duplicates_of(
+        "class",
+        patch.classes.iter().map(|e| &e.name),
+    ));
+    problems.extend(duplicates_of(
+        "account",
+        patch.accounts.iter().map(|e| &e.name),
+    ));
     problems
 }
 
-fn check(declaration: &Declaration) -> Vec<PatchProblem> {
+fn check_declaration(declaration: &Declaration) -> Vec<PatchProblem> {
     let mut problems = Vec::new();
     if declaration.operators.is_empty() {
         problems.push(PatchProblem::NoOperator);
@@ -420,8 +439,8 @@
 }
 
 fn check_digest(problems: &mut Vec<PatchProblem>, name: &str, digest: &str) {
-    let hexadecimal = digest.chars().all(|c| c.is_ascii_hexdigit());
-    if digest.len() != SHA256_HEX_LENGTH || !hexadecimal {
+    let is_hexadecimal = digest.chars().all(|c| c.is_ascii_hexdigit());
+    if digest.len() != SHA256_HEX_LENGTH || !is_hexadecimal {
         problems.push(PatchProblem::TokenDigest {
             name: name.to_owned(),
         });
@@ -459,7 +478,7 @@
     }
     for guarantee in &account.guarantees {
         if !account.data_centres.contains(&guarantee.data_centre) {
-            problems.push(PatchProblem::GuaranteeElsewhere {
+            problems.push(PatchProblem::GuaranteeOutsideAccount {
                 account: account.name.clone(),
                 data_centre: guarantee.data_centre.clone(),
             });
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for the platform, for tests, benches and the demo.
+//! Simulates the platform for tests, benches and the demo.
 //!
-//! Each is a pure state machine with fault switches; [`Platform`] serves them
-//! over TCP.
+//! The stand-ins for the key-value service and for a worker are state machines without
+//! I/O or clocks: their callers pass the time. Their faults can be switched on and off.
+//! [`Platform`] serves them over HTTP.
 
 mod platform;
 mod store;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform over TCP: key-value service, list of VMs, workers.
+//! Serves the stand-in platform over HTTP: key-value service, list of VMs and workers.
 
 use super::{
     StoreStandIn,
@@ -57,21 +57,24 @@
 };
 use tokio::sync::Notify;
 
+/// How long an idle connection stays open, and how long a call to an unreachable worker
+/// stays unanswered.
 const KEEP_ALIVE: std::time::Duration = std::time::Duration::from_secs(75);
 
-/// Workers to stand in for.
+/// Workers that the platform simulates in one data centre.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Their data centre.
+    /// Data centre of the workers.
     pub data_centre: String,
-    /// How many.
+    /// Number of workers.
     pub workers: usize,
-    /// How many in a rack.
+    /// Number of workers in a rack.
     pub rack_size: usize,
-    /// Accelerators of each.
+    /// Number of accelerators of each worker.
     pub accelerators: u16,
 }
 
+/// A worker and the notification of its changes.
 #[derive(Debug)]
 struct WorkerSlot {
     stand_in: WorkerStandIn,
@@ -85,16 +88,17 @@
     vms: Vec<VmRecord>,
 }
 
-/// The running stand-in; it ends with the process.
+/// Handle of the running platform, which serves until the process ends.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
-    written: Arc<Notify>,
+    store_changed: Arc<Notify>,
     waiting_polls: Arc<AtomicUsize>,
     timer: Timer,
 }
 
+/// Parameters of calls to the key-value service and its leases.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct StoreQuery {
@@ -105,6 +109,7 @@
     ttl_ms: u64,
 }
 
+/// Filters of the list of VMs.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct ListQuery {
@@ -112,6 +117,7 @@
     kind: Option<VmKind>,
 }
 
+/// Faults to set on the key-value service or on a worker.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct FaultQuery {
@@ -126,26 +132,26 @@
 }
 
 impl Platform {
-    /// Serves on a free loopback port, from a thread of its own.
+    /// Serves on a free loopback port, from a new thread.
     ///
     /// # Errors
     ///
-    /// The port or the thread could not be had.
+    /// Returns an error if no port can be bound or the thread cannot be started.
     pub fn spawn(timer: Timer, fleets: &[Fleet]) -> std::io::Result<Self> {
         Self::bind("127.0.0.1:0", timer, fleets)
     }
 
-    /// Serves on `address`, from a thread of its own.
+    /// Serves on `address`, from a new thread.
     ///
     /// # Errors
     ///
-    /// The address or the thread could not be had.
+    /// Returns an error if the address cannot be bound or the thread cannot be started.
     pub fn bind(address: &str, timer: Timer, fleets: &[Fleet]) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let platform = Self {
             address: listener.local_addr()?,
             state: Arc::default(),
-            written: Arc::default(),
+            store_changed: Arc::default(),
             waiting_polls: Arc::default(),
             timer,
         };
@@ -168,7 +174,7 @@
                     .client_request_timeout(std::time::Duration::ZERO)
                     .finish(move |request: Request| {
                         let platform = platform.clone();
-                        async move { Ok::<_, Infallible>(platform.answer(request).await) }
+                        async move { Ok::<_, Infallible>(platform.handle_request(request).await) }
                     })
                     .tcp()
             };
@@ -177,13 +183,13 @@
                 .disable_signals()
                 .listen("platform", listener, factory);
             if let Ok(server) = server {
-                // The stand-in serves until the process ends.
+                // Nothing stops the server before the process ends.
                 let _ = server.run().await;
             }
         });
     }
 
-    /// Where it serves.
+    /// Returns the address on which the platform serves.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -227,40 +233,42 @@
         });
     }
 
-    /// Looks into or changes the key-value service.
-    pub fn with_store<R>(&self, look: impl FnOnce(&mut StoreStandIn) -> R) -> R {
-        let result = look(&mut self.state().store);
-        self.written.notify_waiters();
+    /// Calls `access` with the key-value service, to read or change its state.
+    pub fn with_store<R>(&self, access: impl FnOnce(&mut StoreStandIn) -> R) -> R {
+        let result = access(&mut self.state().store);
+        self.store_changed.notify_waiters();
         result
     }
 
-    /// Looks into or changes one worker.
+    /// Calls `access` with the worker called `name`, to read or change its state.
+    ///
+    /// Returns `None` if there is no such worker.
     pub fn with_worker<R>(
         &self,
         name: &str,
-        look: impl FnOnce(&mut WorkerStandIn) -> R,
+        access: impl FnOnce(&mut WorkerStandIn) -> R,
     ) -> Option<R> {
         let mut state = self.state();
         let slot = state.workers.get_mut(name)?;
-        let result = look(&mut slot.stand_in);
+        let result = access(&mut slot.stand_in);
         slot.changed.notify_waiters();
         Some(result)
     }
 
-    /// Long polls that wait for news right now.
+    /// Returns the number of long polls that are waiting for updates.
     pub fn waiting_polls(&self) -> usize {
         self.waiting_polls.load(Ordering::Acquire)
     }
 
-    /// Looks into every worker.
-    pub fn each_worker(&self, mut look: impl FnMut(&mut WorkerStandIn)) {
+    /// Calls `access` with every worker, to read or change their state.
+    pub fn each_worker(&self, mut access: impl FnMut(&mut WorkerStandIn)) {
         for slot in self.state().workers.values_mut() {
-            look(&mut slot.stand_in);
+            access(&mut slot.stand_in);
             slot.changed.notify_waiters();
         }
     }
 
-    async fn answer(&self, mut request: Request) -> Response<BoxBody> {
+    async fn handle_request(&self, mut request: Request) -> Response<BoxBody> {
         let method = request.method().clone();
         let path = request.path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
@@ -271,30 +279,30 @@
         let body = read_body(request.take_payload()).await;
         let segments: Vec<&str> = path.trim_start_matches('/').splitn(2, '/').collect();
         match segments.as_slice() {
-            ["vms"] => self.list(&query, known_tag.as_deref()),
-            ["kv", key] => self.kv(&method, key, &query, body).await,
-            ["lease", key] => self.lease(&method, key, &query).await,
-            ["w", rest] => self.worker(rest, &query, body).await,
-            ["fault", target] => self.fault(target, &query),
-            _ => status(StatusCode::NOT_FOUND),
+            ["vms"] => self.list_vms(&query, known_tag.as_deref()),
+            ["kv", key] => self.handle_key_value(&method, key, &query, body).await,
+            ["lease", key] => self.handle_lease(&method, key, &query).await,
+            ["w", rest] => self.handle_worker(rest, &query, body).await,
+            ["fault", target] => self.set_faults(target, &query),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
-    fn list(&self, query: &str, known_tag: Option<&str>) -> Response<BoxBody> {
+    fn list_vms(&self, query: &str, known_tag: Option<&str>) -> Response<BoxBody> {
         let query: ListQuery = serde_urlencoded::from_str(query).unwrap_or_default();
         let state = self.state();
-        let wanted = |vm: &&VmRecord| {
-            let here = query
+        let is_listed = |vm: &&VmRecord| {
+            let is_in_data_centre = query
                 .data_centre
                 .as_ref()
-                .is_none_or(|at| *at == vm.data_centre);
-            here && query.kind.is_none_or(|kind| kind == vm.kind)
+                .is_none_or(|name| *name == vm.data_centre);
+            is_in_data_centre && query.kind.is_none_or(|kind| kind == vm.kind)
         };
-        let vms: Vec<&VmRecord> = state.vms.iter().filter(wanted).collect();
+        let vms: Vec<&VmRecord> = state.vms.iter().filter(is_listed).collect();
         let body = serde_json::to_vec(&vms).unwrap_or_default();
         let tag = format!("\"{:x}\"", xxhash_rust::xxh3::xxh3_64(&body));
         if known_tag == Some(tag.as_str()) {
-            return status(StatusCode::NOT_MODIFIED);
+            return empty_response(StatusCode::NOT_MODIFIED);
         }
         Response::build(StatusCode::OK)
             .insert_header(("etag", tag))
@@ -302,7 +310,13 @@
             .map_into_boxed_body()
     }
 
-    async fn kv(&self, method: &Method, key: &str, query: &str, body: Bytes) -> Response<BoxBody> {
+    async fn handle_key_value(
+        &self,
+        method: &Method,
+        key: &str,
+        query: &str,
+        body: Bytes,
+    ) -> Response<BoxBody> {
         let query: StoreQuery = serde_urlencoded::from_str(query).unwrap_or_default();
         let key = key.to_owned();
         let call = match (method, query.after) {
@@ -322,27 +336,29 @@
             }
             _ => StoreCall::Get { key },
         };
-        self.store(call).await
+        self.call_store(call).await
     }
 
+    /// Waits until `key` has a later version than `after_version`, for at most `wait_ms`.
+    /// Returns at once while the store is down.
     async fn wait_for_version(&self, key: &str, after_version: u64, wait_ms: u64) {
         let until_ms = self.timer.now_ms() + wait_ms;
         loop {
-            let written = self.written.notified();
+            let written = self.store_changed.notified();
             let now_ms = self.timer.now_ms();
             let down = self.state().store.faults.down;
             if down || self.state().store.version(key) > after_version || now_ms >= until_ms {
                 return;
             }
-            // Either a write or the end of the wait ends this round.
+            // Wakes up after a write to any key or at the end of the wait, and checks again.
             let _ = self.timer.timeout(until_ms - now_ms, written).await;
         }
     }
 
-    async fn lease(&self, method: &Method, key: &str, query: &str) -> Response<BoxBody> {
+    async fn handle_lease(&self, method: &Method, key: &str, query: &str) -> Response<BoxBody> {
         let query: StoreQuery = serde_urlencoded::from_str(query).unwrap_or_default();
         let (key, holder) = (key.to_owned(), query.holder);
-        self.store(match method {
+        self.call_store(match method {
             &Method::DELETE => StoreCall::ReleaseLease { key, holder },
             _ => StoreCall::AcquireLease {
                 key,
@@ -353,38 +369,42 @@
         .await
     }
 
-    async fn store(&self, call: StoreCall) -> Response<BoxBody> {
+    async fn call_store(&self, call: StoreCall) -> Response<BoxBody> {
         let (result, delay_ms) = {
             let mut state = self.state();
             let result = state.store.handle(call, self.timer.now_ms());
             (result, state.store.faults.delay_ms)
         };
-        self.written.notify_waiters();
+        self.store_changed.notify_waiters();
         if delay_ms > 0 {
             self.timer.sleep(delay_ms).await;
         }
         match result {
-            Ok(StoreAnswer::Value { version, value }) => versioned(StatusCode::OK, version, value),
+            Ok(StoreAnswer::Value { version, value }) => {
+                versioned_response(StatusCode::OK, version, value)
+            }
             Ok(StoreAnswer::Written { version }) => {
-                versioned(StatusCode::CREATED, version, Bytes::new())
+                versioned_response(StatusCode::CREATED, version, Bytes::new())
             }
-            Ok(StoreAnswer::Absent) => status(StatusCode::NOT_FOUND),
-            Ok(StoreAnswer::Conflict) => status(StatusCode::CONFLICT),
-            Ok(StoreAnswer::Granted) => status(StatusCode::ACCEPTED),
-            Ok(StoreAnswer::Released) => status(StatusCode::NO_CONTENT),
+            Ok(StoreAnswer::Absent) => empty_response(StatusCode::NOT_FOUND),
+            Ok(StoreAnswer::Conflict) => empty_response(StatusCode::CONFLICT),
+            Ok(StoreAnswer::Granted) => empty_response(StatusCode::ACCEPTED),
+            Ok(StoreAnswer::Released) => empty_response(StatusCode::NO_CONTENT),
             Ok(StoreAnswer::Held { holder }) => Response::build(StatusCode::LOCKED)
                 .body(holder)
                 .map_into_boxed_body(),
             Err(crate::backend::StoreFailure::Unavailable) => {
-                status(StatusCode::SERVICE_UNAVAILABLE)
+                empty_response(StatusCode::SERVICE_UNAVAILABLE)
+            }
+            Err(crate::backend::StoreFailure::Timeout) => {
+                empty_response(StatusCode::GATEWAY_TIMEOUT)
             }
-            Err(crate::backend::StoreFailure::Timeout) => status(StatusCode::GATEWAY_TIMEOUT),
         }
     }
 
-    async fn worker(&self, rest: &str, query: &str, body: Bytes) -> Response<BoxBody> {
+    async fn handle_worker(&self, rest: &str, query: &str, body: Bytes) -> Response<BoxBody> {
         let Some((name, action)) = rest.split_once('/') else {
-            return status(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
         let query: WorkerQuery = serde_urlencoded::from_str(query).unwrap_or_default();
         let attempt = AttemptId {
@@ -414,7 +434,7 @@
             "inspect" => WorkerCall::Inspect { epoch, attempt },
             "poll" => {
                 self.waiting_polls.fetch_add(1, Ordering::AcqRel);
-                self.wait_for_news(name, query.cursor, query.ms, query.lease_ms)
+                self.wait_for_updates(name, query.cursor, query.ms, query.lease_ms)
                     .await;
                 self.waiting_polls.fetch_sub(1, Ordering::AcqRel);
                 WorkerCall::Poll {
@@ -423,30 +443,34 @@
                     lease_ms: query.lease_ms,
                 }
             }
-            _ => return status(StatusCode::NOT_FOUND),
+            _ => return empty_response(StatusCode::NOT_FOUND),
         };
         let now_ms = self.timer.now_ms();
         match self.with_worker(name, |worker| worker.handle(call, now_ms)) {
             Some(Ok(answer)) => worker_response(answer),
-            // A worker out of reach never answers; the caller's timeout ends it.
+            // An unreachable worker does not answer. The caller's own timeout is meant to
+            // end the call first.
             Some(Err(_)) => {
                 self.timer.sleep(KEEP_ALIVE.as_millis() as u64).await;
-                status(StatusCode::GATEWAY_TIMEOUT)
+                empty_response(StatusCode::GATEWAY_TIMEOUT)
             }
-            None => status(StatusCode::NOT_FOUND),
+            None => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
-    async fn wait_for_news(&self, name: &str, cursor: u64, wait_ms: u64, lease_ms: u64) {
+    /// Waits until the worker has updates after `cursor`, for at most `wait_ms`.
+    /// Returns at once if the worker is unreachable or unknown.
+    async fn wait_for_updates(&self, name: &str, cursor: u64, wait_ms: u64, lease_ms: u64) {
         let until_ms = self.timer.now_ms() + wait_ms;
-        // The poll's arrival renews the lease, not its end.
-        let arrived = WorkerCall::Poll {
+        // The arrival of the poll renews the lease, so the worker handles the poll before
+        // the wait.
+        let arriving_poll = WorkerCall::Poll {
             cursor,
             wait_ms,
             lease_ms,
         };
         let now_ms = self.timer.now_ms();
-        let reached = self.with_worker(name, |worker| worker.handle(arrived, now_ms));
+        let reached = self.with_worker(name, |worker| worker.handle(arriving_poll, now_ms));
         if !matches!(reached, Some(Ok(_))) {
             return;
         }
@@ -460,25 +484,26 @@
             let Some(changed) = changed else {
                 return;
             };
-            let waiting = changed.notified();
+            let next_change = changed.notified();
             let next_ms = {
                 let mut state = self.state();
                 let Some(slot) = state.workers.get_mut(name) else {
                     return;
                 };
                 slot.stand_in.tick(now_ms);
-                if slot.stand_in.has_news(cursor) || now_ms >= until_ms {
+                if slot.stand_in.has_updates(cursor) || now_ms >= until_ms {
                     return;
                 }
                 slot.stand_in
-                    .next_due_ms()
+                    .next_change_ms()
                     .unwrap_or(until_ms)
                     .min(until_ms)
             };
-            // Whatever comes first: a call, a task's end, or the poll's end.
+            // Waits for a call to the worker, the next change that is due by time, or the
+            // end of the poll, whichever comes first.
             let _ = self
                 .timer
-                .timeout(next_ms.saturating_sub(now_ms).max(1), waiting)
+                .timeout(next_ms.saturating_sub(now_ms).max(1), next_change)
                 .await;
         }
     }
@@ -491,11 +516,13 @@
             Some(answer) => Response::build(StatusCode::OK)
                 .body(answer)
                 .map_into_boxed_body(),
-            None => status(StatusCode::NOT_FOUND),
+            None => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
-    fn fault(&self, target: &str, query: &str) -> Response<BoxBody> {
+    /// Sets the faults of the store, or of the worker called `target`, as `query` says.
+    /// A parameter that is missing from `query` switches its fault off.
+    fn set_faults(&self, target: &str, query: &str) -> Response<BoxBody> {
         let query: FaultQuery = serde_urlencoded::from_str(query).unwrap_or_default();
         if target == "store" {
             self.with_store(|store| {
@@ -503,7 +530,7 @@
                 store.faults.lose_answers = query.lose_answers;
                 store.faults.delay_ms = query.delay_ms;
             });
-            return status(StatusCode::OK);
+            return empty_response(StatusCode::OK);
         }
         let now_ms = self.timer.now_ms();
         let found = self.with_worker(target, |worker| {
@@ -516,7 +543,7 @@
                 worker.restart(now_ms);
             }
         });
-        status(found.map_or(StatusCode::NOT_FOUND, |()| StatusCode::OK))
+        empty_response(found.map_or(StatusCode::NOT_FOUND, |()| StatusCode::OK))
     }
 }
 
@@ -528,11 +555,11 @@
     body.freeze()
 }
 
-fn status(code: StatusCode) -> Response<BoxBody> {
+fn empty_response(code: StatusCode) -> Response<BoxBody> {
     Response::new(code)
 }
 
-fn versioned(code: StatusCode, version: u64, body: Bytes) -> Response<BoxBody> {
+fn versioned_response(code: StatusCode, version: u64, body: Bytes) -> Response<BoxBody> {
     Response::build(code)
         .insert_header((VERSION_HEADER, version.to_string()))
         .body(body)
@@ -541,7 +568,7 @@
 
 fn worker_response(answer: WorkerAnswer) -> Response<BoxBody> {
     match answer {
-        WorkerAnswer::Done => status(StatusCode::ACCEPTED),
+        WorkerAnswer::Done => empty_response(StatusCode::ACCEPTED),
         WorkerAnswer::Refused(refusal) => Response::build(StatusCode::CONFLICT)
             .body(refusal.name())
             .map_into_boxed_body(),
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -1,4 +1,7 @@
-//! A stand-in for the platform's key-value service.
+//! Simulates the platform's key-value service.
+//!
+//! A key's version starts at 1 and increases by one with each write. A write succeeds
+//! only if it names the current version, which is 0 for an absent key.
 
 use crate::backend::{
     StoreAnswer,
@@ -8,16 +11,16 @@
 use bytes::Bytes;
 use std::collections::HashMap;
 
-/// What the service can be told to do wrong.
+/// Faults of the key-value service that can be switched on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreFaults {
-    /// Refuses every call.
+    /// Whether every call is refused.
     pub down: bool,
-    /// Lets so many writes take effect without answering them.
+    /// Number of upcoming writes that take effect but get no answer.
     pub lose_answers: u32,
-    /// Lets so many calls pass by without effect or answer.
+    /// Number of upcoming calls that have no effect and get no answer.
     pub drop_calls: u32,
-    /// Answers only after this time.
+    /// Delay of every answer, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -27,23 +30,23 @@
     until_ms: u64,
 }
 
-/// Values, versions and leases.
+/// State of the key-value service: values with their versions, and leases.
 #[derive(Debug, Default)]
 pub struct StoreStandIn {
     values: HashMap<String, (u64, Bytes)>,
     leases: HashMap<String, Lease>,
-    /// Its fault switches.
+    /// Faults that are switched on.
     pub faults: StoreFaults,
-    /// Calls by kind so far.
+    /// Number of calls so far, by kind.
     pub calls: HashMap<&'static str, u64>,
 }
 
 impl StoreStandIn {
-    /// Carries one call; a watch answers what there is.
+    /// Executes one call. A watch does not wait, but returns the current value.
     ///
     /// # Errors
     ///
-    /// A fault switch is on.
+    /// Returns an error if a fault prevents the call or its answer.
     pub fn handle(&mut self, call: StoreCall, now_ms: u64) -> Result<StoreAnswer, StoreFailure> {
         *self.calls.entry(call.name()).or_default() += 1;
         if self.faults.down {
@@ -53,16 +56,16 @@
             self.faults.drop_calls -= 1;
             return Err(StoreFailure::Timeout);
         }
-        let writes = matches!(call, StoreCall::CompareAndSwap { .. });
-        let answer = self.carry_out(call, now_ms);
-        if writes && self.faults.lose_answers > 0 {
+        let is_write = matches!(call, StoreCall::CompareAndSwap { .. });
+        let answer = self.execute(call, now_ms);
+        if is_write && self.faults.lose_answers > 0 {
             self.faults.lose_answers -= 1;
             return Err(StoreFailure::Timeout);
         }
         Ok(answer)
     }
 
-    fn carry_out(&mut self, call: StoreCall, now_ms: u64) -> StoreAnswer {
+    fn execute(&mut self, call: StoreCall, now_ms: u64) -> StoreAnswer {
         match call {
             StoreCall::Get { key } | StoreCall::Watch { key, .. } => match self.values.get(&key) {
                 Some((version, value)) => StoreAnswer::Value {
@@ -114,29 +117,30 @@
         StoreAnswer::Granted
     }
 
-    /// Version of a key; 0 when absent.
+    /// Returns the version of a key, or 0 if the key is absent.
     pub fn version(&self, key: &str) -> u64 {
         self.values.get(key).map_or(0, |(version, _)| *version)
     }
 
-    /// Lets a lease lapse at once.
+    /// Ends a lease at once, as if it had expired.
     pub fn lapse(&mut self, key: &str) {
         self.leases.remove(key);
     }
 
-    /// Damages a stored value: `change` edits it in place of a write.
+    /// Replaces a stored value by the result of `change` and keeps the version, to
+    /// simulate damage to the store.
     pub fn damage(&mut self, key: &str, change: impl FnOnce(&Bytes) -> Bytes) {
         if let Some((_, value)) = self.values.get_mut(key) {
             *value = change(value);
         }
     }
 
-    /// The stored value of a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<Bytes> {
         self.values.get(key).map(|(_, value)| value.clone())
     }
 
-    /// Keys in use, in order.
+    /// Returns the keys that have a value, in ascending order.
     pub fn keys(&self) -> Vec<String> {
         let mut keys: Vec<String> = self.values.keys().cloned().collect();
         keys.sort();
--- a/src/standin/task.rs
+++ b/src/standin/task.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker's task does, as its payload says.
+//! Defines the tasks of stand-in workers, which do what their payload says.
 
 use crate::core::JobId;
 use bytes::Bytes;
@@ -11,36 +11,38 @@
     Sha256, //
 };
 
+/// Length of a SHA-256 digest, the block that answers repeat.
 const BLOCK_BYTES: usize = 32;
 
-/// The payload that stand-in workers understand, in JSON.
+/// Description of a task, which is the payload of its job in JSON.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct TaskSpec {
-    /// How long the task runs.
+    /// Run time of the task, in milliseconds.
     pub run_ms: u64,
-    /// Length of its answer.
+    /// Length of the answer.
     pub answer_bytes: u64,
-    /// Whether it fails when it should finish.
+    /// Whether the task fails at the end of its run time.
     pub fail: bool,
-    /// Makes payloads, and so answers, differ.
+    /// Text that makes the payloads of different jobs differ, and with them the answers.
     pub marker: String,
 }
 
 impl TaskSpec {
-    /// The payload for a job.
+    /// Returns the payload that describes this task.
     pub fn payload(&self) -> Bytes {
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Reads a payload; one that is not understood runs for no time.
-    pub fn read(payload: &[u8]) -> Self {
+    /// Decodes a payload. An invalid payload gives a task that finishes at once.
+    pub fn from_payload(payload: &[u8]) -> Self {
         serde_json::from_slice(payload).unwrap_or_default()
     }
 
-    /// The answer that the job of `payload` has to give, and no other job has.
+    /// Returns the answer that a task of `job` with `payload` gives. Different jobs have
+    /// different answers, so that a swapped answer is detected.
     pub fn answer(job: JobId, payload: &[u8]) -> Bytes {
-        let size_bytes = Self::read(payload).answer_bytes as usize;
+        let size_bytes = Self::from_payload(payload).answer_bytes as usize;
         let mut hasher = Sha256::new();
         hasher.update(job.0.to_be_bytes());
         hasher.update(payload);
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,4 +1,7 @@
-//! A stand-in for a worker.
+//! Simulates a worker.
+//!
+//! A worker refuses calls of an epoch older than the latest one it has seen. All its
+//! running tasks stop when its lease expires.
 
 use super::TaskSpec;
 use crate::backend::{
@@ -22,41 +25,43 @@
 };
 use std::collections::BTreeMap;
 
-/// Answers up to this size travel with the news that the task finished.
-const INLINE_ANSWER_BYTES: u64 = 4 << 10;
-/// Ended attempts that are remembered.
-const REMEMBERED_ATTEMPTS: usize = 4_096;
-/// News entries that are kept for a poller.
-const KEPT_NEWS: usize = 8_192;
+/// Largest answer that is sent with the update that the task has finished. Larger ones
+/// are fetched by a separate call.
+const MAX_INLINE_ANSWER_BYTES: u64 = 4 << 10;
+/// Maximum number of ended attempts whose state the worker keeps.
+const MAX_REMEMBERED_ATTEMPTS: usize = 4_096;
+/// Maximum number of updates that are kept for polls.
+const MAX_KEPT_UPDATES: usize = 8_192;
 
-/// What a worker can be told to do wrong.
+/// Faults of a worker that can be switched on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerFaults {
-    /// Nothing reaches it and nothing comes from it; tasks go on.
+    /// Whether the worker is unreachable. Its tasks continue.
     pub unreachable: bool,
-    /// Refuses every start.
+    /// Whether every start is refused.
     pub refuse_starts: bool,
-    /// Fails every task right after its start.
+    /// Whether every task fails right after its start.
     pub fail_tasks: bool,
-    /// Carries out so many calls without answering.
+    /// Number of upcoming calls, not counting polls, that take effect but get no answer.
     pub lose_answers: u32,
 }
 
-/// One run of a task, for checks.
+/// One run of a task, recorded for checks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Run {
-    /// The attempt.
+    /// The attempt that the run belongs to.
     pub attempt: AttemptId,
-    /// When it began.
+    /// Time at which the run began, in milliseconds.
     pub began_ms: u64,
-    /// When it ended.
+    /// Time at which the run ended, if it has.
     pub ended_ms: Option<u64>,
-    /// Whether it finished with an answer.
+    /// Whether the run finished with an answer.
     pub finished: bool,
-    /// Its accelerators.
+    /// Accelerators that the run used.
     pub mask: AcceleratorMask,
 }
 
+/// Stage of an attempt on the worker.
 #[derive(Clone, Debug)]
 enum Stage {
     Reserved {
@@ -66,7 +71,7 @@
         since_ms: u64,
         stop_at_ms: Option<u64>,
     },
-    Over(TaskState),
+    Ended(TaskState),
 }
 
 #[derive(Clone, Debug)]
@@ -78,29 +83,29 @@
     payload: Bytes,
 }
 
-/// The state of a worker.
+/// State of a worker and its tasks.
 #[derive(Debug, Default)]
 pub struct WorkerStandIn {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
     incarnation: u64,
     epoch: u64,
     tasks: BTreeMap<AttemptId, Task>,
-    over: Vec<AttemptId>,
-    news: BTreeMap<u64, TaskChange>,
+    ended_attempts: Vec<AttemptId>,
+    updates: BTreeMap<u64, TaskChange>,
     cursor: u64,
     lease_until_ms: Option<u64>,
     leaving: bool,
-    /// Its fault switches.
+    /// Faults that are switched on.
     pub faults: WorkerFaults,
-    /// Every run so far, across restarts.
+    /// Every run so far, also those before a restart.
     pub runs: Vec<Run>,
-    /// When the latest task began.
+    /// Time at which the latest task began, in milliseconds.
     pub last_start_ms: Option<u64>,
 }
 
 impl WorkerStandIn {
-    /// A worker without tasks.
+    /// Creates a worker without tasks.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -109,26 +114,26 @@
         }
     }
 
-    /// Carries one call; a poll answers what there is.
+    /// Executes one call. A poll does not wait, but returns the current updates.
     ///
     /// # Errors
     ///
-    /// A fault switch is on.
+    /// Returns an error if a fault prevents the call or its answer.
     pub fn handle(&mut self, call: WorkerCall, now_ms: u64) -> Result<WorkerAnswer, WorkerFailure> {
         self.tick(now_ms);
         if self.faults.unreachable {
             return Err(WorkerFailure::Silent);
         }
-        let poll = matches!(call, WorkerCall::Poll { .. });
-        let answer = self.carry_out(call, now_ms);
-        if self.faults.lose_answers > 0 && !poll {
+        let is_poll = matches!(call, WorkerCall::Poll { .. });
+        let answer = self.execute(call, now_ms);
+        if self.faults.lose_answers > 0 && !is_poll {
             self.faults.lose_answers -= 1;
             return Err(WorkerFailure::Silent);
         }
         Ok(answer)
     }
 
-    fn carry_out(&mut self, call: WorkerCall, now_ms: u64) -> WorkerAnswer {
+    fn execute(&mut self, call: WorkerCall, now_ms: u64) -> WorkerAnswer {
         if let Some(epoch) = epoch_of(&call) {
             if epoch < self.epoch {
                 return WorkerAnswer::Refused(WorkerRefusal::StaleEpoch);
@@ -166,10 +171,10 @@
     ) -> WorkerAnswer {
         if let Some(task) = self.tasks.get(&attempt) {
             return match &task.stage {
-                Stage::Over(TaskState::Unknown | TaskState::NotBegun) => {
+                Stage::Ended(TaskState::Unknown | TaskState::NotBegun) => {
                     WorkerAnswer::Refused(WorkerRefusal::NotReserved)
                 }
-                Stage::Over(state) => WorkerAnswer::State(state.clone()),
+                Stage::Ended(state) => WorkerAnswer::State(state.clone()),
                 _ => WorkerAnswer::Done,
             };
         }
@@ -177,7 +182,7 @@
             return WorkerAnswer::Refused(WorkerRefusal::Leaving);
         }
         let taken = self.tasks.values().fold(0, |taken, task| match task.stage {
-            Stage::Over(_) => taken,
+            Stage::Ended(_) => taken,
             _ => taken | task.mask,
         });
         if taken & mask != 0 {
@@ -201,23 +206,23 @@
         payload: Bytes,
         now_ms: u64,
     ) -> WorkerAnswer {
-        let refuse = self.faults.refuse_starts;
+        let refuse_start = self.faults.refuse_starts;
         let Some(task) = self.tasks.get_mut(&attempt) else {
             return WorkerAnswer::Refused(WorkerRefusal::NotReserved);
         };
         match &task.stage {
-            Stage::Over(TaskState::NotBegun | TaskState::Unknown) => {
+            Stage::Ended(TaskState::NotBegun | TaskState::Unknown) => {
                 return WorkerAnswer::Refused(WorkerRefusal::NotReserved);
             }
-            Stage::Over(state) => return WorkerAnswer::State(state.clone()),
+            Stage::Ended(state) => return WorkerAnswer::State(state.clone()),
             Stage::Running { .. } => return WorkerAnswer::Done,
-            Stage::Reserved { .. } if refuse => {
+            Stage::Reserved { .. } if refuse_start => {
                 self.end(attempt, TaskState::NotBegun, now_ms);
                 return WorkerAnswer::Refused(WorkerRefusal::CannotStart);
             }
             Stage::Reserved { .. } => {}
         }
-        task.spec = TaskSpec::read(&payload);
+        task.spec = TaskSpec::from_payload(&payload);
         task.progress_ms = progress_ms;
         task.payload = payload;
         task.stage = Stage::Running {
@@ -242,25 +247,25 @@
 
     fn stop(&mut self, attempt: AttemptId, grace_ms: u64, now_ms: u64) -> WorkerAnswer {
         let Some(task) = self.tasks.get_mut(&attempt) else {
-            // Remembered, so that a start that is still on its way is refused.
-            // It is not said to be "not begun": a worker that has restarted
-            // cannot know.
+            // The attempt is recorded as ended, so that a start that is still in flight
+            // is refused. Its state is "unknown" and not "not begun", because the worker
+            // may have restarted since the attempt began.
             let task = Task {
                 mask: 0,
-                stage: Stage::Over(TaskState::Unknown),
+                stage: Stage::Ended(TaskState::Unknown),
                 spec: TaskSpec::default(),
                 progress_ms: 0,
                 payload: Bytes::new(),
             };
             self.tasks.insert(attempt, task);
-            self.over.push(attempt);
+            self.ended_attempts.push(attempt);
             return WorkerAnswer::State(TaskState::Unknown);
         };
         match &mut task.stage {
-            Stage::Over(state) => return WorkerAnswer::State(state.clone()),
+            Stage::Ended(state) => return WorkerAnswer::State(state.clone()),
             Stage::Reserved { .. } => self.end(attempt, TaskState::NotBegun, now_ms),
             Stage::Running { stop_at_ms, .. } if grace_ms > 0 => {
-                // The stand-in's checkpoint takes half the grace it is given.
+                // The checkpoint takes half of the grace time.
                 let at_ms = now_ms + grace_ms / 2;
                 *stop_at_ms = Some(stop_at_ms.map_or(at_ms, |earlier| earlier.min(at_ms)));
                 return WorkerAnswer::Done;
@@ -289,14 +294,14 @@
             None => TaskState::Unknown,
             Some(Stage::Reserved { .. }) => TaskState::NotBegun,
             Some(Stage::Running { .. }) => TaskState::Running,
-            Some(Stage::Over(state)) => state.clone(),
+            Some(Stage::Ended(state)) => state.clone(),
         }
     }
 
     fn poll(&mut self, cursor: u64, now_ms: u64, lease_ms: u64) -> WorkerAnswer {
         self.lease_until_ms = Some(now_ms + lease_ms);
         let changes = self
-            .news
+            .updates
             .range(cursor + 1..)
             .map(|(_, change)| change.clone());
         WorkerAnswer::Polled(PollAnswer {
@@ -307,18 +312,20 @@
         })
     }
 
-    /// Whether a poll from `cursor` has something to say.
-    pub fn has_news(&self, cursor: u64) -> bool {
+    /// Returns whether a poll from `cursor` would return something new.
+    pub fn has_updates(&self, cursor: u64) -> bool {
         self.cursor > cursor
     }
 
-    /// Says from now on that it is leaving, or no longer.
+    /// Sets whether the worker reports that it is leaving. A leaving worker refuses
+    /// reservations.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
         self.cursor += 1;
     }
 
-    /// Lets time pass: tasks finish, reservations and the lease run out.
+    /// Advances the worker to `now_ms`: tasks finish, and reservations and the lease
+    /// expire.
     pub fn tick(&mut self, now_ms: u64) {
         let due: Vec<(u64, AttemptId, TaskState)> = self
             .tasks
@@ -333,8 +340,8 @@
         }
     }
 
-    /// When the next task changes by itself.
-    pub fn next_due_ms(&self) -> Option<u64> {
+    /// Returns the time at which the next task changes without a call.
+    pub fn next_change_ms(&self) -> Option<u64> {
         let changes = self.tasks.iter();
         changes
             .filter_map(|(&attempt, task)| self.next_change(attempt, task))
@@ -342,23 +349,24 @@
             .min()
     }
 
+    /// Returns when and to which state a task changes without a call.
     fn next_change(&self, attempt: AttemptId, task: &Task) -> Option<(u64, TaskState)> {
         match task.stage {
-            Stage::Over(_) => None,
+            Stage::Ended(_) => None,
             Stage::Reserved { until_ms } => Some((until_ms, TaskState::NotBegun)),
             Stage::Running {
                 since_ms,
                 stop_at_ms,
             } => {
                 let end_ms = since_ms + task.spec.run_ms.saturating_sub(task.progress_ms);
-                let cut_ms = [stop_at_ms, self.lease_until_ms]
+                let forced_end_ms = [stop_at_ms, self.lease_until_ms]
                     .into_iter()
                     .flatten()
                     .min();
-                match cut_ms {
-                    Some(cut_ms) if cut_ms < end_ms => {
-                        let progress_ms = task.progress_ms + cut_ms.saturating_sub(since_ms);
-                        Some((cut_ms, TaskState::Stopped { progress_ms }))
+                match forced_end_ms {
+                    Some(forced_end_ms) if forced_end_ms < end_ms => {
+                        let progress_ms = task.progress_ms + forced_end_ms.saturating_sub(since_ms);
+                        Some((forced_end_ms, TaskState::Stopped { progress_ms }))
                     }
                     _ if task.spec.fail => Some((end_ms, TaskState::Failed)),
                     _ => Some((
@@ -378,18 +386,19 @@
             attempt: attempt.attempt,
             size_bytes,
             sha256: Bytes::copy_from_slice(&Sha256::digest(&answer)),
-            inline: match size_bytes <= INLINE_ANSWER_BYTES {
+            inline: match size_bytes <= MAX_INLINE_ANSWER_BYTES {
                 true => answer,
                 false => Bytes::new(),
             },
         }
     }
 
+    /// Ends an attempt with `state` and records the update for polls.
     fn end(&mut self, attempt: AttemptId, state: TaskState, at_ms: u64) {
         let Some(task) = self.tasks.get_mut(&attempt) else {
             return;
         };
-        task.stage = Stage::Over(state.clone());
+        task.stage = Stage::Ended(state.clone());
         let run = self
             .runs
             .iter_mut()
@@ -400,33 +409,35 @@
             run.finished = matches!(state, TaskState::Finished(_));
         }
         self.cursor += 1;
-        self.news.insert(self.cursor, TaskChange { attempt, state });
-        self.over.push(attempt);
-        if self.news.len() > KEPT_NEWS {
-            self.news.pop_first();
+        self.updates
+            .insert(self.cursor, TaskChange { attempt, state });
+        self.ended_attempts.push(attempt);
+        if self.updates.len() > MAX_KEPT_UPDATES {
+            self.updates.pop_first();
         }
-        if self.over.len() > REMEMBERED_ATTEMPTS {
-            self.tasks.remove(&self.over.remove(0));
+        if self.ended_attempts.len() > MAX_REMEMBERED_ATTEMPTS {
+            self.tasks.remove(&self.ended_attempts.remove(0));
         }
     }
 
-    /// Where an attempt stands, as an inspection would say.
+    /// Returns the state of an attempt that an inspection would report. Unlike an
+    /// inspection, this does not cancel a reservation.
     pub fn task_state(&self, attempt: AttemptId) -> TaskState {
         self.state(attempt)
     }
 
-    /// The whole answer of a finished attempt.
+    /// Returns the complete answer of a finished attempt.
     pub fn answer(&self, attempt: AttemptId) -> Option<Bytes> {
         let task = self.tasks.get(&attempt)?;
         match task.stage {
-            Stage::Over(TaskState::Finished(_)) => {
+            Stage::Ended(TaskState::Finished(_)) => {
                 Some(TaskSpec::answer(attempt.job, &task.payload))
             }
             _ => None,
         }
     }
 
-    /// Dies and comes back empty.
+    /// Restarts the worker as its next incarnation, without tasks and updates.
     pub fn restart(&mut self, now_ms: u64) {
         for run in self.runs.iter_mut().filter(|run| run.ended_ms.is_none()) {
             run.ended_ms = Some(now_ms);
@@ -441,19 +452,20 @@
         };
     }
 
-    /// Tasks that began with a payload of `marker` and are remembered.
+    /// Returns the number of started tasks with this `marker` whose state is still kept.
     pub fn runs_of(&self, marker: &str) -> usize {
-        let marked = |task: &&Task| task.spec.marker == marker;
-        self.tasks.values().filter(marked).count()
+        let has_marker = |task: &&Task| task.spec.marker == marker;
+        self.tasks.values().filter(has_marker).count()
     }
 
-    /// Number of tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
-        let running = |task: &&Task| matches!(task.stage, Stage::Running { .. });
-        self.tasks.values().filter(running).count()
+        let is_running = |task: &&Task| matches!(task.stage, Stage::Running { .. });
+        self.tasks.values().filter(is_running).count()
     }
 }
 
+/// Returns the epoch of the caller. Polls have none.
 fn epoch_of(call: &WorkerCall) -> Option<u64> {
     match call {
         WorkerCall::Reserve { epoch, .. }
