--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -96,7 +96,7 @@
             Err(error) => {
                 let reason = error.reason();
                 reporter.note(StoredKind::Worker, item, &error.into(), NOW_MS);
-                Input::WorkerEntryUnusable {
+                Input::WorkerEntryInvalid {
                     worker_name: worker_name.to_owned(),
                     reason,
                 }
--- a/src/cluster/client_requests.rs
+++ b/src/cluster/client_requests.rs
@@ -277,7 +277,7 @@
 async fn submit(node: &Rc<Node>, parsed: &ParsedRequest, body: &Bytes, received_ms: u64) -> Answer {
     let job = job_id(&parsed.name).ok_or(Refusal::Malformed)?;
     let spec = decode_job(body).map_err(|_| Refusal::Malformed)?;
-    if spec.problem().is_some() {
+    if spec.validation_error().is_some() {
         return Err(Refusal::Malformed);
     }
     let account = parsed.account.as_ref();
--- a/src/cluster/log_lines.rs
+++ b/src/cluster/log_lines.rs
@@ -324,18 +324,18 @@
         Decision::RecoveryOver {
             waited_ms,
             groups,
-            unheard,
+            unresponsive,
         } => {
             metrics::histogram!("fuchsiaslip_recovery_ms").record(*waited_ms as f64);
             (
                 events::RECOVERY_OVER,
                 "recovery_over",
-                match unheard.is_empty() {
+                match unresponsive.is_empty() {
                     true => "all_answered",
                     false => "leases_over",
                 },
-                json!({ "waited_ms": waited_ms, "groups": groups, "unheard": unheard.len(),
-                    "workers": unheard.iter().take(MAX_NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
+                json!({ "waited_ms": waited_ms, "groups": groups, "unheard": unresponsive.len(),
+                    "workers": unresponsive.iter().take(MAX_NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
             )
         }
         Decision::Quarantined {
@@ -358,7 +358,7 @@
             outcome.name(),
             json!({ "wave": wave, "machine": &**machine }),
         ),
-        Decision::EntryUnusable {
+        Decision::EntryInvalid {
             worker,
             reason,
             runs,
@@ -368,7 +368,7 @@
             *reason,
             json!({ "worker": &**worker, "runs": runs }),
         ),
-        Decision::EntryUsable { worker, runs } => (
+        Decision::EntryValid { worker, runs } => (
             events::ENTRY_USABLE,
             "entry_usable",
             "readable",
@@ -396,7 +396,7 @@
                 "accelerators_left": accelerators_left,
                 "guaranteed_accelerators": guaranteed_accelerators }),
         ),
-        Decision::DataCentreBack {
+        Decision::EmptyingWithdrawn {
             data_centre,
             revision,
             emptied_ms,
@@ -409,7 +409,7 @@
             json!({ "data_centre": &**data_centre, "revision": revision, "workers": workers,
                 "runs": runs, "emptied_ms": emptied_ms }),
         ),
-        Decision::DataCentreUsed {
+        Decision::FirstStartAfterEmptying {
             data_centre,
             after_ms,
         } => (
@@ -418,7 +418,7 @@
             "taken_back",
             json!({ "data_centre": &**data_centre, "after_ms": after_ms }),
         ),
-        Decision::OrdersUnread { known_ago_ms } => (
+        Decision::OrdersStale { known_ago_ms } => (
             events::ORDERS_UNREAD,
             "orders_unread",
             "store_silent",
@@ -428,7 +428,7 @@
             name,
             worker,
             ordered_ago_ms,
-            heard_after_ms,
+            responded_after_ms,
             exited_within_ms,
             percent,
             reason,
@@ -437,14 +437,14 @@
             "run_lost",
             *reason,
             json!({ "task": name.task.to_string(), "run": name.run, "worker": &**worker,
-                "ordered_ago_ms": ordered_ago_ms, "heard_after_ms": heard_after_ms,
+                "ordered_ago_ms": ordered_ago_ms, "heard_after_ms": responded_after_ms,
                 "exited_within_ms": exited_within_ms, "percent": percent }),
         ),
         Decision::CrashCounted {
             name,
             worker,
             at_start,
-            alone,
+            only_suspect,
             crashes,
             crashes_at_start,
         } => (
@@ -452,7 +452,7 @@
             "crash_counted",
             if *at_start { "at_start" } else { "later" },
             json!({ "task": name.task.to_string(), "run": name.run, "worker": &**worker,
-                "alone": alone, "crashes": crashes, "crashes_at_start": crashes_at_start }),
+                "alone": only_suspect, "crashes": crashes, "crashes_at_start": crashes_at_start }),
         ),
         Decision::TaskGivenUp {
             name,
@@ -466,7 +466,7 @@
             json!({ "task": name.task.to_string(), "run": name.run,
                 "crashes": crashes, "crashes_at_start": crashes_at_start }),
         ),
-        Decision::EntriesUnread { known_ago_ms } => (
+        Decision::EntriesStale { known_ago_ms } => (
             events::ENTRIES_UNREAD,
             "entries_unread",
             "store_silent",
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -99,7 +99,7 @@
     let earlier = known.not_over(began_ms, |owner, boot| {
         node.is_incarnation_over(owner, boot)
     });
-    let earlier_owner_over = earlier.is_empty();
+    let earlier_owner_exited = earlier.is_empty();
     let next = RootRecord {
         epoch: known.epoch + 1,
         owner: node.settings.daemon.clone(),
@@ -141,7 +141,7 @@
         epoch: next.epoch,
         root_revision,
         began_ms,
-        earlier_owner_over,
+        earlier_owner_exited,
         reason,
     };
     let mut outcome = begin(node, &taken).await;
@@ -172,7 +172,7 @@
     root_revision: u64,
     /// When the attempt began; the epoch counts as confirmed as of this time.
     began_ms: u64,
-    earlier_owner_over: bool,
+    earlier_owner_exited: bool,
     /// Why this daemon took over.
     reason: &'static str,
 }
@@ -239,7 +239,7 @@
         .note_emptied(found, &node.emptying_orders().in_force());
     stored.push(Input::EpochConfirmed(began_ms));
     stored.push(Input::StoredStateRead {
-        earlier_owner_over: taken.earlier_owner_over,
+        earlier_owner_exited: taken.earlier_owner_exited,
     });
     let (job_count, worker_count) = (jobs.items.len(), workers.items.len());
     node.control.send(super::Command::Begin {
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -270,7 +270,7 @@
 /// The bytes are no job record, or the job cannot be run.
 pub fn decode_job_record(value: &[u8]) -> Result<JobRecord, InvalidReason> {
     let record: JobRecord = decode(value)?;
-    match record.spec.problem() {
+    match record.spec.validation_error() {
         None => Ok(record),
         Some(problem) => Err(InvalidReason {
             reason: "bad_job",
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -161,7 +161,7 @@
         Err(error) => {
             let reason = error.reason();
             node.report_invalid(StoredKind::Worker, item, &error.into());
-            Input::WorkerEntryUnusable {
+            Input::WorkerEntryInvalid {
                 worker_name: worker_name.to_owned(),
                 reason,
             }
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -274,7 +274,7 @@
                 "old" => StartRefusal::OldRun,
                 "late" => StartRefusal::Late,
                 "ticket" => StartRefusal::NoTicket,
-                "room" => StartRefusal::NoRoom,
+                "room" => StartRefusal::NoCapacity,
                 _ => StartRefusal::Unhealthy,
             })
         }
--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -51,13 +51,13 @@
 
 impl Scheduler {
     /// Applies an end to its task and job, and returns the condition for acknowledging it.
-    pub(super) fn note_end(&mut self, key: WorkerKey, row: &EndedRow) -> WaitsFor {
+    pub(super) fn apply_end(&mut self, key: WorkerKey, row: &EndedRow) -> WaitsFor {
         let id = row.name.task.job;
         if self.is_unreadable(id) && !self.jobs.contains_key(&id) {
             return WaitsFor::JobReadable;
         }
         self.record_end_checkpoint(row);
-        self.drop_older_claims(row.name);
+        self.drop_older_unseen_runs(row.name);
         if !matches!(row.kind, EndKind::Done | EndKind::Failed) {
             return WaitsFor::Nothing;
         }
@@ -96,7 +96,7 @@
                 );
                 if own && early {
                     let row = end.row.clone();
-                    let waits_for = self.note_end(key, &row);
+                    let waits_for = self.apply_end(key, &row);
                     self.worker_mut(key).unacknowledged_ends[at].waits_for = waits_for;
                 }
             }
@@ -130,7 +130,7 @@
             };
             worker.last_seen = end.row.number;
             if matches!(end.waits_for, WaitsFor::JobsReadPast(_)) {
-                self.end_released(key, end.row.name, "job_not_stored");
+                self.report_released_end(key, end.row.name, "job_not_stored");
             }
         }
         self.with_unacknowledged_ends.remove(&key);
@@ -168,7 +168,12 @@
     }
 
     /// Logs that an end is acknowledged although nothing is stored for it.
-    pub(super) fn end_released(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
+    pub(super) fn report_released_end(
+        &mut self,
+        key: WorkerKey,
+        name: RunName,
+        reason: &'static str,
+    ) {
         let worker = self.worker(key).name();
         self.decided(Decision::EndReleased {
             name,
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -226,7 +226,7 @@
         /// Groups that waited.
         groups: usize,
         /// Workers that did not respond during the recovery.
-        unheard: Vec<Arc<str>>,
+        unresponsive: Vec<Arc<str>>,
     },
     /// A worker is quarantined: it gets no work for a while.
     Quarantined {
@@ -247,7 +247,7 @@
         outcome: UpkeepOutcome,
     },
     /// The registration entry of a known worker is invalid: the worker gets no new work.
-    EntryUnusable {
+    EntryInvalid {
         /// The worker's name.
         worker: Arc<str>,
         /// Why.
@@ -256,7 +256,7 @@
         runs: usize,
     },
     /// The registration entry of a worker, which was invalid, is valid again.
-    EntryUsable {
+    EntryValid {
         /// The worker's name.
         worker: Arc<str>,
         /// Number of runs that continued there.
@@ -280,7 +280,7 @@
         guaranteed_accelerators: u32,
     },
     /// The operators withdrew the order to empty a data centre.
-    DataCentreBack {
+    EmptyingWithdrawn {
         /// The data centre.
         data_centre: Arc<str>,
         /// The store's revision of the order.
@@ -293,7 +293,7 @@
         runs: usize,
     },
     /// The first start order went to a data centre after its order was withdrawn.
-    DataCentreUsed {
+    FirstStartAfterEmptying {
         /// The data centre.
         data_centre: Arc<str>,
         /// Time from the withdrawal to the start order.
@@ -301,7 +301,7 @@
     },
     /// The orders to empty data centres are stale: nothing new starts until they are read
     /// again.
-    OrdersUnread {
+    OrdersStale {
         /// Time since they were last known to be current.
         known_ago_ms: u64,
     },
@@ -314,7 +314,7 @@
         /// Time since the start order.
         ordered_ago_ms: u64,
         /// Time from the start order to the last response of the worker.
-        heard_after_ms: u64,
+        responded_after_ms: u64,
         /// Upper bound on the time from the order to the worker's exit or the end of its lease.
         exited_within_ms: u64,
         /// The run's progress when its worker last listed it.
@@ -329,11 +329,11 @@
         /// The worker's name.
         worker: Arc<str>,
         /// Whether the crash counts as one at the start of the run: the worker is not
-        /// known to have outlived the start.
+        /// known to have survived the start.
         at_start: bool,
         /// Whether all suspects on the worker were of one job, and this run cannot have
         /// ended before the crash.
-        alone: bool,
+        only_suspect: bool,
         /// Crashes of workers under the task so far.
         crashes: u32,
         /// Crashes of workers at a start of the task so far.
@@ -352,7 +352,7 @@
     },
     /// The registration entries of workers are stale: workers of unguarded services get
     /// nothing new until the entries are read again.
-    EntriesUnread {
+    EntriesStale {
         /// Time since they were last known to be current.
         known_ago_ms: u64,
     },
@@ -417,7 +417,7 @@
     /// Its data centre is being emptied, and the run had not begun.
     DataCentreEmptied,
     /// Its worker's capacity has shrunk, and the run had not begun.
-    RoomShrunk,
+    CapacityShrunk,
 }
 
 impl StopReason {
@@ -433,7 +433,7 @@
             Self::WorkerLeaving => "worker_leaving",
             Self::Upkeep => "upkeep",
             Self::DataCentreEmptied => "data_centre_emptied",
-            Self::RoomShrunk => "room_shrunk",
+            Self::CapacityShrunk => "room_shrunk",
         }
     }
 }
--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -108,7 +108,7 @@
 
     /// Restores a worker that an earlier owner closed. It may have the given runs and has
     /// no others.
-    pub(super) fn take_closed(&mut self, key: WorkerKey, closed: ClosedRuns) {
+    pub(super) fn restore_closed_worker(&mut self, key: WorkerKey, closed: ClosedRuns) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
         worker.close_state = CloseState::Closed;
@@ -119,7 +119,7 @@
             let mut run = Run::found(now_ms, GroupKey::of(name.task));
             run.phase = RunPhase::Unseen;
             run.confirmed = confirmed.is_some();
-            run.outlived = confirmed.is_none_or(|confirmed| !confirmed.at_start);
+            run.survived_start = confirmed.is_none_or(|confirmed| !confirmed.at_start);
             worker.add_run(name, run);
         }
         let mut lost = closed.confirmed;
@@ -130,7 +130,7 @@
     /// Drops the unseen runs of a task, or of its gang, that are older than a run that was
     /// found. An owner starts a run only after all earlier ones have ended, even if the
     /// store still names them.
-    pub(super) fn drop_older_claims(&mut self, found: RunName) {
+    pub(super) fn drop_older_unseen_runs(&mut self, found: RunName) {
         let key = GroupKey::of(found.task);
         let Some(group) = self.groups.get(&key) else {
             return;
--- a/src/scheduler/crashes.rs
+++ b/src/scheduler/crashes.rs
@@ -57,7 +57,7 @@
 use std::collections::HashSet;
 
 /// A worker that responds this long after a start was not crashed by that start.
-const OUTLIVED_MS: u64 = 1_000;
+const START_SURVIVAL_MS: u64 = 1_000;
 /// Time for which nothing else starts on a worker after a suspect was started. A run
 /// started in that time would be lost with the suspect and become a suspect as well.
 const TRIAL_MS: u64 = 1_000;
@@ -173,7 +173,7 @@
     /// Whether its start may have crashed its worker: the run may be running, and the worker
     /// has not responded long enough after the start.
     pub(super) fn is_start_unproven(&self) -> bool {
-        self.may_be_running() && !self.outlived
+        self.may_be_running() && !self.survived_start
     }
 
     /// Whether it may be running: its worker confirmed it, and its gang has not ended.
@@ -245,9 +245,9 @@
     /// of the next one if known, otherwise now. Clocks may differ, so the start time is
     /// clamped to the interval from the last response to now.
     pub(super) fn latest_exit_ms(&self, key: WorkerKey, next_start_ms: Option<u64>) -> u64 {
-        let heard_ms = self.worker(key).heard_ms.min(self.now_ms);
+        let last_response_ms = self.worker(key).last_response_ms.min(self.now_ms);
         next_start_ms.map_or(self.now_ms, |start_ms| {
-            start_ms.clamp(heard_ms, self.now_ms)
+            start_ms.clamp(last_response_ms, self.now_ms)
         })
     }
 
@@ -343,7 +343,7 @@
             name,
             worker,
             at_start,
-            alone: only_suspect,
+            only_suspect,
             crashes,
             crashes_at_start,
         });
@@ -376,15 +376,15 @@
 
     /// Records that a worker reported a run long enough after its start: the task does not
     /// crash workers at its start. A long-running task has all its crashes cleared.
-    pub(super) fn record_outlived_start(&mut self, key: WorkerKey, name: RunName) {
+    pub(super) fn record_survived_start(&mut self, key: WorkerKey, name: RunName) {
         let now_ms = self.now_ms;
         let Some(run) = self.worker_mut(key).runs.get_mut(&name) else {
             return;
         };
-        if run.outlived || now_ms < run.ordered_ms + OUTLIVED_MS {
+        if run.survived_start || now_ms < run.ordered_ms + START_SURVIVAL_MS {
             return;
         }
-        run.outlived = true;
+        run.survived_start = true;
         let Some(group) = self.groups.get_mut(&GroupKey::of(name.task)) else {
             return;
         };
@@ -415,14 +415,14 @@
 
     /// Whether a suspect of another job was just started on a worker and has not survived
     /// its start yet.
-    pub(super) fn tries_another(&self, key: WorkerKey, job: JobId) -> bool {
+    pub(super) fn has_other_suspect_on_trial(&self, key: WorkerKey, job: JobId) -> bool {
         let mut runs = self.worker(key).runs.iter();
-        runs.any(|(name, run)| run.on_trial && !run.outlived && name.task.job != job)
+        runs.any(|(name, run)| run.on_trial && !run.survived_start && name.task.job != job)
     }
 
     /// Whether an earlier incarnation at a worker's address crashed recently. Some workers go
     /// down and come up repeatedly, and are empty when they are back.
-    pub(super) fn crashed_lately(&self, key: WorkerKey) -> bool {
+    pub(super) fn crashed_recently(&self, key: WorkerKey) -> bool {
         let now_ms = self.now_ms;
         let at_address = self.address_index.get(&self.worker(key).info.address);
         let mut others = at_address.into_iter().flatten();
@@ -434,7 +434,7 @@
 
     /// Reserves a worker for a suspect for a while, unless too many workers are reserved;
     /// returns whether the worker is reserved.
-    pub(super) fn keep_for_trial(&mut self, key: WorkerKey) -> bool {
+    pub(super) fn reserve_for_trial(&mut self, key: WorkerKey) -> bool {
         let now_ms = self.now_ms;
         let is_reserved = |until_ms: u64| now_ms < until_ms;
         if is_reserved(self.worker(key).trial_until_ms) {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -57,7 +57,7 @@
             phase: RunPhase::Starting,
             ordered_ms: now_ms,
             confirmed: false,
-            outlived: false,
+            survived_start: false,
             gang_ended: false,
             on_trial,
             sends: 0,
@@ -81,7 +81,7 @@
         let decision = Decision::Placed {
             name,
             worker: worker.name(),
-            view_age_ms: now_ms.saturating_sub(worker.heard_ms),
+            view_age_ms: now_ms.saturating_sub(worker.last_response_ms),
             priority,
             waited_ms,
         };
@@ -104,9 +104,9 @@
             return;
         }
         let capacity_shrunk = self.worker(key).is_overfull() && self.is_unguarded(key);
-        if sends > 0 && (capacity_shrunk || self.is_room_unknown(key)) {
+        if sends > 0 && (capacity_shrunk || self.is_capacity_unknown(key)) {
             // If the start were carried out only now, the worker would exceed its capacity.
-            self.stop_run(key, name, StopReason::RoomShrunk);
+            self.stop_run(key, name, StopReason::CapacityShrunk);
             return;
         }
         let may_start = self.has_authority() && self.knows_orders();
@@ -160,7 +160,7 @@
         name: RunName,
         outcome: CallOutcome,
     ) {
-        let judged = self.judged(key, outcome);
+        let effective_outcome = self.effective_outcome(key, outcome);
         /// Wait before a start without an answer is sent again.
         const RESEND_MS: u64 = 30;
         let now_ms = self.now_ms;
@@ -168,22 +168,22 @@
             return;
         };
         run.in_flight = false;
-        run.confirmed |= judged == CallOutcome::Done;
-        match judged {
+        run.confirmed |= effective_outcome == CallOutcome::Done;
+        match effective_outcome {
             CallOutcome::Done if run.phase == RunPhase::Starting => {
                 run.phase = RunPhase::Running;
                 run.conclusive_ms = Some(now_ms + CONCLUSIVE_MS);
                 run.advanced_ms = now_ms;
-                self.note_started(name);
+                self.record_started(name);
             }
             CallOutcome::Done => {}
             CallOutcome::NoAnswer => {
                 run.resend_ms = now_ms + RESEND_MS;
                 let (phase, resources) = (run.phase, run.resources);
                 self.worker_mut(key)
-                    .note_late_start(name, resources, now_ms);
+                    .record_late_start(name, resources, now_ms);
                 if phase == RunPhase::Starting {
-                    self.retried(key, name, "no_answer");
+                    self.report_retry(key, name, "no_answer");
                 }
             }
             CallOutcome::OtherIncarnation => self.worker_gone(key, LossCause::OtherIncarnation),
@@ -197,7 +197,7 @@
         /// worker that refuses for a lasting reason gets thousands of starts a second.
         const REFUSAL_BACKOFF_MS: u64 = 150;
         let now_ms = self.now_ms;
-        self.retried(key, name, refusal.name());
+        self.report_retry(key, name, refusal.name());
         let worker = self.worker_mut(key);
         let Some(run) = worker.runs.get_mut(&name) else {
             return;
@@ -213,12 +213,12 @@
             return;
         }
         match refusal {
-            StartRefusal::NoRoom | StartRefusal::OldRun | StartRefusal::Malformed => {
+            StartRefusal::NoCapacity | StartRefusal::OldRun | StartRefusal::Malformed => {
                 worker.full_until_ms = now_ms + REFUSAL_BACKOFF_MS;
             }
             // The worker's clock was read from an answer that had waited in this process,
             // for example during a pause.
-            StartRefusal::Late => worker.clock_doubted = true,
+            StartRefusal::Late => worker.clock_suspect = true,
             StartRefusal::Unhealthy => worker.full_until_ms = now_ms + 4 * REFUSAL_BACKOFF_MS,
             StartRefusal::NoTicket => {
                 if let Some(group) = self.groups.get_mut(&GroupKey::of(name.task)) {
@@ -227,11 +227,11 @@
             }
             StartRefusal::Fenced => {}
         }
-        self.run_gone(key, name);
+        self.handle_run_gone(key, name);
     }
 
     /// Reports that a run did not start: refused, not answered, or absent from a poll.
-    pub(super) fn retried(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
+    pub(super) fn report_retry(&mut self, key: WorkerKey, name: RunName, reason: &'static str) {
         let worker = self.worker(key).name();
         self.decided(Decision::Retried {
             name,
@@ -241,7 +241,7 @@
     }
 
     /// Records that a run of the job has started.
-    pub(super) fn note_started(&mut self, name: RunName) {
+    pub(super) fn record_started(&mut self, name: RunName) {
         if let Some(job) = self.jobs.get_mut(&name.task.job) {
             job.started = true;
         }
@@ -289,7 +289,7 @@
         name: RunName,
         outcome: CallOutcome,
     ) {
-        let judged = self.judged(key, outcome);
+        let effective_outcome = self.effective_outcome(key, outcome);
         /// Wait before a stop without an answer is sent again.
         const RESEND_MS: u64 = 200;
         let (now_ms, stop_ms) = (self.now_ms, self.tuning.stop_ms);
@@ -298,7 +298,7 @@
             return;
         };
         run.in_flight = false;
-        match judged {
+        match effective_outcome {
             CallOutcome::Done => {
                 run.conclusive_ms = Some(now_ms + stop_ms + CONCLUSIVE_MS);
                 worker.poll_at_ms = worker.poll_at_ms.min(now_ms + stop_ms);
--- a/src/scheduler/draining.rs
+++ b/src/scheduler/draining.rs
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// Stops the runs of a draining worker that cannot end before it exits.
-    pub(super) fn review_leaving(&mut self, key: WorkerKey) {
+    pub(super) fn review_draining(&mut self, key: WorkerKey) {
         let now_ms = self.now_ms;
         let worker = self.worker(key);
         if !worker.info.draining || worker.contact != Contact::Answering {
@@ -61,7 +61,7 @@
         let has_capacity_elsewhere = self.workers.iter().any(|worker| {
             worker.key != key
                 && worker.takes_work(self.now_ms)
-                && worker.free().holds(&group.resources)
+                && worker.free().contains(&group.resources)
         });
         let bound = group.step.max_unavailable;
         has_capacity_elsewhere && bound.is_none_or(|bound| self.away(group, None) < bound.max(1))
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -54,7 +54,7 @@
 impl Emptying {
     /// Whether a data centre gets no new tasks. A worker that does not report its data
     /// centre may be in any, so it gets none while any order is in force.
-    pub(super) fn names(&self, data_centre: &str) -> bool {
+    pub(super) fn covers(&self, data_centre: &str) -> bool {
         let unknown = data_centre.is_empty() && !self.in_force.is_empty();
         unknown || self.in_force.contains_key(data_centre)
     }
@@ -73,7 +73,7 @@
     pub(super) fn handle_emptying_orders(&mut self, orders: Vec<EmptyingOrder>, checked_ms: u64) {
         // Fresh orders allow starts again, so a pass follows at once.
         let (now_ms, bound_ms) = (self.now_ms, self.tuning.orders_max_age_ms);
-        self.changed |= self.emptying.freshness.note(checked_ms, now_ms, bound_ms);
+        self.changed |= self.emptying.freshness.update(checked_ms, now_ms, bound_ms);
         let mut before = std::mem::take(&mut self.emptying.in_force);
         let (mut new, mut reissued) = (Vec::new(), Vec::new());
         for order in orders {
@@ -112,7 +112,7 @@
     /// are being freed there: a group that waits for them would wait in vain.
     fn mark_emptied(&mut self) {
         for worker in &mut self.workers {
-            worker.emptied = self.emptying.names(&worker.info.data_centre);
+            worker.emptied = self.emptying.covers(&worker.info.data_centre);
         }
         let workers = &self.workers;
         for group in self.groups.values_mut() {
@@ -163,7 +163,7 @@
 
     fn report_withdrawn(&mut self, data_centre: String, order: InForce) {
         self.store_emptied(&data_centre);
-        let decision = Decision::DataCentreBack {
+        let decision = Decision::EmptyingWithdrawn {
             data_centre: data_centre.as_str().into(),
             revision: order.revision,
             emptied_ms: self.now_ms.saturating_sub(order.since_ms),
@@ -179,15 +179,15 @@
 
     /// The capacity outside the data centres that get no new tasks.
     fn usable_capacity(&self) -> Resources {
-        self.room_of(|worker| worker.is_usable() && !worker.emptied)
+        self.capacity_of(|worker| worker.is_usable() && !worker.emptied)
     }
 
     /// The capacity by which the terms of jobs are calculated: that which may be used, or
     /// all of it if none may be used, because the orders will be withdrawn some time.
-    pub(super) fn room_for_terms(&self) -> Resources {
+    pub(super) fn capacity_for_objectives(&self) -> Resources {
         let usable = self.usable_capacity();
         match usable == Resources::default() {
-            true => self.room_of(Worker::is_usable),
+            true => self.capacity_of(Worker::is_usable),
             false => usable,
         }
     }
@@ -203,8 +203,12 @@
     /// Reports, once each time, that nothing starts because the orders are stale.
     pub(super) fn report_stale_orders(&mut self) {
         let bound_ms = self.tuning.orders_max_age_ms;
-        if let Some(known_ago_ms) = self.emptying.freshness.untold_age_ms(self.now_ms, bound_ms) {
-            self.decided(Decision::OrdersUnread { known_ago_ms });
+        if let Some(known_ago_ms) = self
+            .emptying
+            .freshness
+            .unreported_age_ms(self.now_ms, bound_ms)
+        {
+            self.decided(Decision::OrdersStale { known_ago_ms });
         }
     }
 
@@ -233,7 +237,7 @@
         if let Some(since_ms) = self.emptying.not_yet_used.remove(data_centre) {
             let after_ms = self.now_ms.saturating_sub(since_ms);
             let data_centre: Arc<str> = data_centre.into();
-            self.decided(Decision::DataCentreUsed {
+            self.decided(Decision::FirstStartAfterEmptying {
                 data_centre,
                 after_ms,
             });
--- a/src/scheduler/freshness.rs
+++ b/src/scheduler/freshness.rs
@@ -19,7 +19,7 @@
 
     /// Records that the state was current at `known_ms`, and returns whether it was stale
     /// until now.
-    pub(super) fn note(&mut self, known_ms: u64, now_ms: u64, bound_ms: u64) -> bool {
+    pub(super) fn update(&mut self, known_ms: u64, now_ms: u64, bound_ms: u64) -> bool {
         let was_old = !self.is_fresh(now_ms, bound_ms);
         self.known_ms = self.known_ms.max(known_ms);
         self.reported &= !self.is_fresh(now_ms, bound_ms);
@@ -37,7 +37,7 @@
     }
 
     /// Returns the age of stale state, once each time that it becomes stale.
-    pub(super) fn untold_age_ms(&mut self, now_ms: u64, bound_ms: u64) -> Option<u64> {
+    pub(super) fn unreported_age_ms(&mut self, now_ms: u64, bound_ms: u64) -> Option<u64> {
         let is_due =
             !self.is_fresh(now_ms, bound_ms) && !std::mem::replace(&mut self.reported, true);
         is_due.then(|| self.age_ms(now_ms))
--- a/src/scheduler/group.rs
+++ b/src/scheduler/group.rs
@@ -165,7 +165,7 @@
     /// speed.
     pub run_time: LogEstimate,
     /// Whether the run time was added to the model of its queue.
-    pub run_time_noted: bool,
+    pub run_time_learned: bool,
     /// The number of the gang's run that is on workers.
     pub gang_run: Option<u64>,
     /// Whether the gang's run is being stopped.
@@ -235,7 +235,7 @@
     }
 
     /// Removes all references to a worker that is gone.
-    pub fn forget_worker(&mut self, worker: WorkerKey) {
+    pub fn remove_worker(&mut self, worker: WorkerKey) {
         for task in &mut self.tasks {
             task.avoid = task.avoid.filter(|&avoided| avoided != worker);
         }
--- a/src/scheduler/input.rs
+++ b/src/scheduler/input.rs
@@ -125,7 +125,7 @@
     /// The order's deadline has passed.
     Late,
     /// The worker has too little free capacity.
-    NoRoom,
+    NoCapacity,
     /// The approval for this worker is missing or has expired.
     NoTicket,
     /// The order was malformed.
@@ -141,7 +141,7 @@
             Self::Fenced => "fenced",
             Self::OldRun => "old_run",
             Self::Late => "late",
-            Self::NoRoom => "no_room",
+            Self::NoCapacity => "no_room",
             Self::NoTicket => "no_ticket",
             Self::Malformed => "malformed",
             Self::Unhealthy => "unhealthy",
@@ -210,7 +210,7 @@
         sent_ms: u64,
     },
     /// The worker's registration entry exists but is invalid.
-    WorkerEntryUnusable {
+    WorkerEntryInvalid {
         /// The name in the entry's key.
         worker_name: String,
         /// Why, as logs and metrics name it.
@@ -240,7 +240,7 @@
     /// Everything that was stored before this owner began has been passed in.
     StoredStateRead {
         /// The process of the earlier owner is known to have ended.
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
     },
     /// The roster with these names is durable.
     RosterStored(Vec<String>),
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -40,7 +40,7 @@
     pub index: u32,
     /// Numbers of the runs whose worker crashed.
     pub runs: Vec<u64>,
-    /// Those of `runs` whose worker is not known to have outlived the start.
+    /// Those of `runs` whose worker is not known to have survived the start.
     pub at_start: Vec<u64>,
 }
 
--- a/src/scheduler/membership.rs
+++ b/src/scheduler/membership.rs
@@ -44,20 +44,20 @@
     pub(super) fn handle_worker_registered(&mut self, info: WorkerInfo) {
         let known = self.worker_index.get(&info.worker_name).copied();
         let key = known.unwrap_or_else(|| self.add_worker(info.clone()));
-        let emptied = self.emptying.names(&info.data_centre);
+        let emptied = self.emptying.covers(&info.data_centre);
         self.apply_entry(key, info);
         let worker = self.worker_mut(key);
         worker.emptied = emptied;
         if worker.contact == Contact::Gone {
             // It was unresponsive and unlisted for a whole lease, and is registered again.
             worker.contact = Contact::Unfenced;
-            self.vacant.retain(|&(_, vacant)| vacant != key);
+            self.vacant_keys.retain(|&(_, vacant)| vacant != key);
         }
         let unknown = !self.worker(key).on_roster;
         if unknown && self.roster_unreadable {
-            self.join_unread_roster(key);
-        } else if unknown && !self.roster_asked {
-            self.roster_asked = true;
+            self.join_unreadable_roster(key);
+        } else if unknown && !self.roster_write_pending {
+            self.roster_write_pending = true;
             self.ask_to_store_roster();
         }
         self.changed = true;
@@ -119,11 +119,11 @@
     /// its answers can be in flight. Without reuse, workers that go down and come up
     /// repeatedly would use up the memory.
     fn take_vacant_key(&mut self) -> Option<WorkerKey> {
-        let &(since_ms, key) = self.vacant.front()?;
+        let &(since_ms, key) = self.vacant_keys.front()?;
         if self.now_ms < since_ms + KEY_REUSE_DELAY_MS {
             return None;
         }
-        self.vacant.pop_front();
+        self.vacant_keys.pop_front();
         let before = self.worker(key).info.worker_name.clone();
         // The name may be that of a later incarnation.
         if self.worker_index.get(&before) == Some(&key) {
@@ -131,7 +131,7 @@
         }
         self.unindex_address(key);
         for group in self.groups.values_mut() {
-            group.forget_worker(key);
+            group.remove_worker(key);
         }
         Some(key)
     }
@@ -153,7 +153,7 @@
         });
         self.worker_mut(key).on_roster = true;
         if let Some(runs) = closed_runs {
-            self.take_closed(key, runs);
+            self.restore_closed_worker(key, runs);
         }
     }
 
@@ -176,11 +176,11 @@
             worker.on_roster = worker.contact != Contact::Gone;
             self.poll_if_due(key);
         }
-        self.roster_asked = self
+        self.roster_write_pending = self
             .workers
             .iter()
             .any(|worker| !worker.on_roster && worker.contact != Contact::Gone);
-        if self.roster_asked {
+        if self.roster_write_pending {
             self.ask_to_store_roster();
         }
         self.changed = true;
@@ -196,12 +196,12 @@
         // Nothing runs on a worker that this owner has polled and on which every run
         // ordered since has ended.
         let empty = worker.contact == Contact::Unresponsive && worker.runs.is_empty();
-        let never_used = worker.clock.is_none() && now_ms >= self.earlier_leases_over_ms;
+        let never_used = worker.clock.is_none() && now_ms >= self.earlier_leases_expired_ms;
         // Runs found there may hold a lease of an earlier owner. It ends before any lease
         // that this owner gave.
         let expired_ms = match (empty || never_used, worker.lease_end_ms) {
             (true, _) => Some(0),
-            (false, 0) => Some(self.earlier_leases_over_ms),
+            (false, 0) => Some(self.earlier_leases_expired_ms),
             (false, _) => worker.leases_expired_ms(),
         };
         if !unreachable || expired_ms.is_none_or(|expired_ms| now_ms < expired_ms) {
@@ -233,7 +233,7 @@
         });
         for name in names {
             self.log_run_lost(key, name, loss, exit_ms);
-            self.run_gone(key, name);
+            self.handle_run_gone(key, name);
         }
         self.record_lost_runs(key, confirmed, loss, exit_ms);
     }
@@ -249,7 +249,7 @@
             name,
             worker: worker.name(),
             ordered_ago_ms: self.now_ms.saturating_sub(run.ordered_ms),
-            heard_after_ms: worker.heard_ms.saturating_sub(run.ordered_ms),
+            responded_after_ms: worker.last_response_ms.saturating_sub(run.ordered_ms),
             exited_within_ms: exit_ms.saturating_sub(run.ordered_ms),
             percent: run.percent,
             reason: loss.name(),
@@ -268,7 +268,7 @@
             return;
         }
         let now_ms = self.now_ms;
-        self.vacant.push_back((now_ms, key));
+        self.vacant_keys.push_back((now_ms, key));
         let worker = self.worker_mut(key);
         worker.contact = Contact::Gone;
         if worker.on_roster {
--- a/src/scheduler/occurrence.rs
+++ b/src/scheduler/occurrence.rs
@@ -155,7 +155,7 @@
             due_ms,
             objective_length_ms: self.objective_length_ms(job, &run_times),
             run_times,
-            recovering: self.may_run_unseen(job),
+            recovering: self.may_have_been_started_earlier(job),
         }
     }
 
@@ -248,12 +248,13 @@
 
     /// Returns the length of the critical path of the steps, where wide steps run in waves.
     fn critical_path_ms(&self, steps: &[Arc<StepSpec>], run_times: &[LogEstimate]) -> f64 {
-        let capacity = self.room_for_terms();
+        let capacity = self.capacity_for_objectives();
         let mut ends: Vec<f64> = Vec::with_capacity(steps.len());
         for (step, run_time) in steps.iter().zip(run_times) {
             let dependency_ends = step.after.iter().map(|&at| ends.get(at as usize).copied());
             let start = dependency_ends.flatten().fold(0.0, f64::max);
-            let parallel_tasks = f64::from(capacity.times(&step.resources()).max(1)) * WAVE_SHARE;
+            let parallel_tasks =
+                f64::from(capacity.count_fitting(&step.resources()).max(1)) * WAVE_SHARE;
             let waves = (f64::from(step.count) / parallel_tasks.max(1.0))
                 .ceil()
                 .max(1.0);
@@ -334,7 +335,7 @@
         objective_ms: opening.due_ms + opening.objective_length_ms,
         objective_length_ms: opening.objective_length_ms,
         run_time,
-        run_time_noted: false,
+        run_time_learned: false,
         gang_run: None,
         gang_ending: false,
         recovering: opening.recovering,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -75,7 +75,7 @@
     /// Whether all tasks are placed or none.
     pub gang: bool,
     /// Whether the tasks should be on one rack.
-    pub one_rack: bool,
+    pub same_rack: bool,
     /// The rack of the data; empty for none.
     pub data_rack: &'a str,
     /// Whether the tasks may leave the rack, where they take longer.
@@ -113,7 +113,7 @@
             from_ms if self.end_ms <= from_ms => candidate.free,
             _ => candidate.free.minus(&candidate.reserved),
         };
-        let fit = free.times(&self.resources).min(self.count);
+        let fit = free.count_fitting(&self.resources).min(self.count);
         if fit == 0 {
             return 0;
         }
@@ -168,8 +168,8 @@
             return placements;
         }
     }
-    if request.one_rack && request.count > 1 {
-        if let Some(placements) = place_on_one_rack(candidates, request) {
+    if request.same_rack && request.count > 1 {
+        if let Some(placements) = place_on_same_rack(candidates, request) {
             return placements;
         }
         if !request.may_leave_rack {
@@ -194,7 +194,7 @@
 
 /// Places all tasks on the rack with the lowest cost: its free accelerators and the
 /// slowness of the slowest worker chosen. Returns `None` if they fit on no rack.
-fn place_on_one_rack(
+fn place_on_same_rack(
     candidates: &[CandidateWorker],
     request: &PlacementRequest<'_>,
 ) -> Option<Vec<Placement>> {
--- a/src/scheduler/poll_report.rs
+++ b/src/scheduler/poll_report.rs
@@ -58,9 +58,9 @@
         worker.contact = Contact::Answering;
         worker.lost.clear();
         worker.failed_polls = 0;
-        worker.heard_ms = now_ms;
+        worker.last_response_ms = now_ms;
         worker.clock = Some((report.clock_ms, now_ms));
-        worker.clock_doubted = false;
+        worker.clock_suspect = false;
         let listed: HashSet<RunName> = report.ended.iter().map(|row| row.name).collect();
         let lists_all_ends = report.ended.len() < MAX_LISTED_ENDS;
         let mut ended = report.ended;
@@ -68,7 +68,7 @@
         for row in ended {
             if row.number > self.worker(key).last_received_end {
                 self.worker_mut(key).last_received_end = row.number;
-                self.take_end(key, row);
+                self.handle_end(key, row);
             }
         }
         let mut seen = HashSet::with_capacity(report.running.len());
@@ -97,7 +97,7 @@
     /// Handles the failure of a poll.
     pub(super) fn handle_poll_failure(&mut self, key: WorkerKey, outcome: CallOutcome) {
         let now_ms = self.now_ms;
-        let effective_outcome = self.judged(key, outcome);
+        let effective_outcome = self.effective_outcome(key, outcome);
         self.poll_ended(key);
         self.try_other_address(key);
         let worker = self.worker_mut(key);
@@ -129,9 +129,9 @@
             // The answer to the start was lost or is still on its way.
             run.phase = RunPhase::Running;
             run.conclusive_ms = Some(now_ms + CONCLUSIVE_MS);
-            self.note_started(row.name);
+            self.record_started(row.name);
         }
-        self.record_outlived_start(key, row.name);
+        self.record_survived_start(key, row.name);
         let worker = self.worker_mut(key);
         let Some(run) = worker.runs.get_mut(&row.name) else {
             return;
@@ -141,7 +141,7 @@
             run.percent = row.percent;
             run.advanced_ms = now_ms;
         }
-        run.progress.note(row.percent, clock_ms, now_ms);
+        run.progress.record(row.percent, clock_ms, now_ms);
         run.usage = row.usage;
         self.learn_from(key, row.name);
     }
@@ -171,7 +171,7 @@
     /// waiting task is stopped.
     pub(super) fn adopt(&mut self, key: WorkerKey, row: &RunningRow) {
         let now_ms = self.now_ms;
-        self.drop_older_claims(row.name);
+        self.drop_older_unseen_runs(row.name);
         let group_key = GroupKey::of(row.name.task);
         let index = row.name.task.index;
         let (mut is_current, mut run) = (false, Run::found(now_ms, group_key));
@@ -210,7 +210,7 @@
         if let Some(job) = self.jobs.get(&row.name.task.job) {
             run.priority = job.run_priority();
         }
-        self.note_started(row.name);
+        self.record_started(row.name);
         run.percent = row.percent;
         run.usage = row.usage;
         self.worker_mut(key).add_run(row.name, run);
@@ -234,8 +234,8 @@
             .map(|(&name, _)| name)
             .collect();
         for name in absent {
-            self.retried(key, name, "absent");
-            self.run_gone(key, name);
+            self.report_retry(key, name, "absent");
+            self.handle_run_gone(key, name);
         }
     }
 
@@ -246,7 +246,7 @@
         name: RunName,
         outcome: CallOutcome,
     ) {
-        let effective_outcome = self.judged(key, outcome);
+        let effective_outcome = self.effective_outcome(key, outcome);
         let Some(run) = self.worker_mut(key).runs.get_mut(&name) else {
             return;
         };
--- a/src/scheduler/polling.rs
+++ b/src/scheduler/polling.rs
@@ -51,8 +51,8 @@
         // An acknowledgement that reaches another incarnation makes it drop ends that it
         // has not listed yet. The worker may have restarted after a poll without an answer,
         // or some time after an answered poll.
-        let is_same_incarnation =
-            worker.contact == Contact::Answering && now_ms < worker.heard_ms + MIN_RESTART_MS;
+        let is_same_incarnation = worker.contact == Contact::Answering
+            && now_ms < worker.last_response_ms + MIN_RESTART_MS;
         let last_seen = if is_same_incarnation {
             worker.last_seen
         } else {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -96,7 +96,7 @@
         let mut slot = Slot::default();
         let mut free = self.free;
         let mut victims = self.victims.iter();
-        while !free.holds(&self.resources) {
+        while !free.contains(&self.resources) {
             let victim = victims.next()?;
             free = free.plus(&victim.resources);
             slot.victims.push(*victim);
@@ -104,7 +104,7 @@
         // Small victims chosen first may be unnecessary once a large one is chosen.
         for at in (0..slot.victims.len()).rev() {
             let without = free.minus(&slot.victims[at].resources);
-            if without.holds(&self.resources) {
+            if without.contains(&self.resources) {
                 free = without;
                 slot.victims.remove(at);
             }
@@ -251,7 +251,7 @@
     ) -> Option<Vec<Choice>> {
         let all: Vec<usize> = (0..candidates.len()).collect();
         let mut regions: Vec<Vec<usize>> = Vec::new();
-        if request.one_rack || !request.data_rack.is_empty() {
+        if request.same_rack || !request.data_rack.is_empty() {
             let mut racks: Vec<&str> = candidates
                 .iter()
                 .map(|candidate| &*candidate.rack)
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -39,24 +39,24 @@
 const KILL_MARGIN_MS: u64 = 100;
 /// Time after a takeover in which an earlier owner may still learn of new jobs: four
 /// heartbeats.
-pub(super) const DEPOSED_MS: u64 = 1_000;
+pub(super) const OWNERSHIP_LOSS_NOTICE_MS: u64 = 1_000;
 
 impl Scheduler {
     /// Begins the recovery once the whole stored state has been read, and polls the workers.
-    pub(super) fn begin_recovery(&mut self, earlier_owner_over: bool) {
+    pub(super) fn begin_recovery(&mut self, earlier_owner_exited: bool) {
         if self.stored_state_read {
             return;
         }
         self.stored_state_read = true;
-        self.earlier_owner_over = earlier_owner_over;
+        self.earlier_owner_exited = earlier_owner_exited;
         let lease_ms = self.tuning.lease_ms;
-        let authority_ms = match earlier_owner_over {
+        let authority_ms = match earlier_owner_exited {
             true => 0,
             false => self.tuning.authority_ms,
         };
         let wait_ms = authority_ms + lease_ms + lease_ms * CLOCK_DRIFT_PERMILLE / 1_000;
-        self.earlier_leases_over_ms = self.began_ms + wait_ms + KILL_MARGIN_MS;
-        self.recovering_until_ms = Some(self.earlier_leases_over_ms);
+        self.earlier_leases_expired_ms = self.started_ms + wait_ms + KILL_MARGIN_MS;
+        self.recovering_until_ms = Some(self.earlier_leases_expired_ms);
         for group in self.groups.values_mut() {
             group.recovering = true;
         }
@@ -72,7 +72,10 @@
         match self.recovering_until_ms {
             // The time alone is not enough: an owner that reads the jobs late learns late of
             // a job that the earlier owner may have started.
-            Some(_) => !self.earlier_owner_over && self.jobs_read_ms < self.began_ms + DEPOSED_MS,
+            Some(_) => {
+                !self.earlier_owner_exited
+                    && self.jobs_read_ms < self.started_ms + OWNERSHIP_LOSS_NOTICE_MS
+            }
             None => !self.stored_state_read,
         }
     }
@@ -81,7 +84,7 @@
     /// worker that this owner has not reached yet. This includes an occurrence that came
     /// due after the takeover: an owner that is cut off continues by the clock, and the task
     /// would run twice.
-    pub(super) fn may_run_unseen(&self, job: &GraphJob) -> bool {
+    pub(super) fn may_have_been_started_earlier(&self, job: &GraphJob) -> bool {
         self.is_recovering() || (job.known_earlier && self.recovering_until_ms.is_some())
     }
 
@@ -102,19 +105,19 @@
         if self.now_ms < until_ms && (self.roster_unreadable || any_unanswered()) {
             return;
         }
-        let unanswered = self.workers.iter().filter(has_not_answered);
-        let unheard: Vec<_> = unanswered.map(Worker::name).collect();
+        let workers = self.workers.iter().filter(has_not_answered);
+        let unresponsive: Vec<_> = workers.map(Worker::name).collect();
         self.recovering_until_ms = None;
         self.changed = true;
-        self.replace_unread_roster();
+        self.replace_unreadable_roster();
         self.decided(Decision::RecoveryOver {
-            waited_ms: self.now_ms - self.began_ms,
+            waited_ms: self.now_ms - self.started_ms,
             groups: self
                 .groups
                 .values()
                 .filter(|group| group.recovering)
                 .count(),
-            unheard,
+            unresponsive,
         });
         let keys: Vec<GroupKey> = self.groups.keys().copied().collect();
         for key in keys {
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -103,7 +103,7 @@
             self.add_slots(request, candidates, at, ends, &mut slots);
         }
         slots.sort_by_key(|slot| (slot.at_ms, slot.candidate));
-        if !request.one_rack && request.data_rack.is_empty() {
+        if !request.same_rack && request.data_rack.is_empty() {
             return (slots.len() >= count).then(|| slots[..count].to_vec());
         }
         let mut by_rack: BTreeMap<&str, Vec<FreeSlot>> = BTreeMap::new();
@@ -139,7 +139,7 @@
         let mut free = candidate.free.minus(&candidate.reserved);
         let (mut at_ms, mut ends) = (self.now_ms, ends.iter());
         for _ in 0..most {
-            while !free.holds(&request.resources) {
+            while !free.contains(&request.resources) {
                 let Some((end_ms, resources)) = ends.next() else {
                     return;
                 };
--- a/src/scheduler/run_ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -20,7 +20,7 @@
 
 impl Scheduler {
     /// Handles an end that a worker lists, and keeps it until it may be acknowledged.
-    pub(super) fn take_end(&mut self, key: WorkerKey, row: EndedRow) {
+    pub(super) fn handle_end(&mut self, key: WorkerKey, row: EndedRow) {
         let worker = self.worker(key).name();
         self.decided(Decision::Ended {
             name: row.name,
@@ -28,13 +28,13 @@
             kind: row.kind.name(),
             number: row.number,
         });
-        let waits_for = self.note_end(key, &row);
+        let waits_for = self.apply_end(key, &row);
         // `GangEnded` and `GangIncomplete` can themselves result from the crash of another
         // member's worker.
         if !matches!(row.kind, EndKind::GangEnded | EndKind::GangIncomplete) {
             self.mark_gang_ended(row.name);
         }
-        self.run_gone(key, row.name);
+        self.handle_run_gone(key, row.name);
         let end = UnacknowledgedEnd { row, waits_for };
         self.worker_mut(key).unacknowledged_ends.push_back(end);
         self.with_unacknowledged_ends.insert(key);
@@ -62,7 +62,7 @@
     /// Marks a task as done and requests that this is stored.
     pub(super) fn handle_done(&mut self, key: WorkerKey, name: RunName) {
         let group_key = GroupKey::of(name.task);
-        self.note_success(key);
+        self.record_success(key);
         self.learn_from_end(key, name);
         let Some(group) = self.groups.get_mut(&group_key) else {
             return;
@@ -83,7 +83,7 @@
             return;
         }
         if task.state != own && task.state != TaskState::Waiting {
-            self.end_released(key, name, "newer_run");
+            self.report_released_end(key, name, "newer_run");
             return;
         }
         if group.step.gang {
@@ -174,7 +174,7 @@
             task.avoid = Some(key);
             task.avoided_ms = now_ms;
         }
-        self.note_failure(key, name);
+        self.record_failure(key, name);
         self.job_changed(name.task.job);
         if !long_running {
             self.end_job_if_exhausted_by(name, failures);
@@ -183,7 +183,7 @@
 
     /// Removes a run from its worker's state. Unless the task is done, it waits again; if
     /// the run belonged to the current run of a gang, the gang's run is given up.
-    pub(super) fn run_gone(&mut self, key: WorkerKey, name: RunName) {
+    pub(super) fn handle_run_gone(&mut self, key: WorkerKey, name: RunName) {
         self.worker_mut(key).remove_run(&name);
         self.changed = true;
         let group_key = GroupKey::of(name.task);
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -58,7 +58,7 @@
 impl FailedSearches {
     /// Whether a search for at most these resources has failed.
     fn covers(&self, needs: &Resources) -> bool {
-        self.needs.iter().any(|failed| needs.holds(failed))
+        self.needs.iter().any(|failed| needs.contains(failed))
     }
 }
 
@@ -79,7 +79,7 @@
             self.report_stale_orders();
             return;
         }
-        self.note_entries_unread();
+        self.report_stale_entries();
         let mut candidates = self.candidates();
         let mut failed_searches = FailedSearches::default();
         let mut reservations = Reservations::default();
@@ -130,7 +130,7 @@
         let accepting = || {
             self.workers
                 .iter()
-                .filter(|worker| worker.takes_work(now_ms) && !self.is_room_unknown(worker.key))
+                .filter(|worker| worker.takes_work(now_ms) && !self.is_capacity_unknown(worker.key))
         };
         let mut rack_free: HashMap<&Arc<str>, u32> = HashMap::new();
         for worker in accepting() {
@@ -238,15 +238,15 @@
         let now_ms = self.now_ms;
         let on_trial = self.is_on_trial(group.key);
         let was_lost = group.tasks.iter().any(|task| !task.crashes.is_empty());
-        let caution = match step.long_running {
+        let failure_avoidance = match step.long_running {
             true => None,
-            false => self.caution(group, &queue.service),
+            false => self.failure_avoidance(group, &queue.service),
         };
         let allowed = |key: WorkerKey| -> u32 {
             let worker = self.worker(key);
-            if caution
+            if failure_avoidance
                 .as_ref()
-                .is_some_and(|caution| !caution.allows(worker, now_ms))
+                .is_some_and(|failure_avoidance| !failure_avoidance.allows(worker, now_ms))
             {
                 return 0;
             }
@@ -257,7 +257,7 @@
             if queue.advice.is_some() && !self.has_ticket(group, key) {
                 return 0;
             }
-            if on_trial && self.tries_another(key, group.key.job) {
+            if on_trial && self.has_other_suspect_on_trial(key, group.key.job) {
                 return 0;
             }
             match step.max_per_worker {
@@ -272,13 +272,13 @@
             slack_ratio: group.objective_ms.saturating_sub(self.now_ms) as f64
                 / group.run_ms().max(1) as f64,
             gang: step.gang,
-            one_rack: step.same_rack,
+            same_rack: step.same_rack,
             data_rack: &step.data_rack,
             may_leave_rack: self.may_leave_rack(group),
             fills: step.fills,
             serves: step.serves(),
             on_trial,
-            crash_prone: &|key| was_lost && self.crashed_lately(key),
+            crash_prone: &|key| was_lost && self.crashed_recently(key),
             avoid,
             allowed: &allowed,
         })
@@ -343,7 +343,7 @@
                 self.start_run(candidate.worker, key, index, run);
                 started += 1;
             }
-            if on_trial && self.keep_for_trial(candidate.worker) {
+            if on_trial && self.reserve_for_trial(candidate.worker) {
                 candidate.free = Resources::default();
             }
         }
@@ -372,13 +372,13 @@
             let worker = self.worker(candidate.worker);
             worker.info.service == queue.service
                 && worker.has_label(&group.step.required_label)
-                && candidate.free.holds(&group.resources)
+                && candidate.free.contains(&group.resources)
         };
         let ticketed = candidates
             .iter()
             .filter(useful)
             .filter(|candidate| self.has_ticket(group, candidate.worker))
-            .map(|candidate| candidate.free.times(&group.resources))
+            .map(|candidate| candidate.free.count_fitting(&group.resources))
             .fold(0u32, u32::saturating_add);
         if ticketed >= group.waiting {
             return true;
--- a/src/scheduler/spec.rs
+++ b/src/scheduler/spec.rs
@@ -23,7 +23,7 @@
 
 impl Resources {
     /// Returns whether `other` fits within these resources.
-    pub fn holds(&self, other: &Self) -> bool {
+    pub fn contains(&self, other: &Self) -> bool {
         self.cpu_millis >= other.cpu_millis
             && self.memory_mb >= other.memory_mb
             && self.accelerators >= other.accelerators
@@ -48,7 +48,7 @@
     }
 
     /// Returns how many times `other` fits within these resources.
-    pub fn times(&self, other: &Self) -> u32 {
+    pub fn count_fitting(&self, other: &Self) -> u32 {
         let ratio = |have: u32, want: u32| have.checked_div(want).unwrap_or(u32::MAX);
         ratio(self.cpu_millis, other.cpu_millis)
             .min(ratio(self.memory_mb, other.memory_mb))
@@ -145,7 +145,7 @@
 
 impl JobSpec {
     /// Returns why the specification is invalid; `None` if it is valid.
-    pub fn problem(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
             return Some("a job needs at least one step");
         }
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -53,7 +53,7 @@
 /// A gap between two decisions of at least this length may mean that the thread or its
 /// VM was paused. It equals the time after which a successor assumes that this owner
 /// has learned of the takeover and gives no more orders.
-const PAUSE_MS: u64 = super::recovery::DEPOSED_MS;
+const PAUSE_MS: u64 = super::recovery::OWNERSHIP_LOSS_NOTICE_MS;
 /// A pause is at least this many times the mean gap between decisions.
 const PAUSE_FACTOR: f64 = 4.0;
 /// Weight of a new gap in the moving average, which thus covers about ten gaps.
@@ -90,7 +90,7 @@
     pub(super) epoch: u64,
     pub(super) tuning: Tuning,
     pub(super) now_ms: u64,
-    pub(super) began_ms: u64,
+    pub(super) started_ms: u64,
     pub(super) confirmed_ms: u64,
     /// When this process last resumed after a pause.
     pub(super) resumed_ms: u64,
@@ -103,9 +103,9 @@
     /// owner cannot reach.
     pub(super) recovering_until_ms: Option<u64>,
     /// When all leases that earlier owners granted have expired.
-    pub(super) earlier_leases_over_ms: u64,
+    pub(super) earlier_leases_expired_ms: u64,
     /// The process of the earlier owner is known to have ended.
-    pub(super) earlier_owner_over: bool,
+    pub(super) earlier_owner_exited: bool,
     pub(super) configuration: Arc<ClusterConfiguration>,
     /// Terms of queues by name, including removed queues that still have jobs.
     pub(super) terms: HashMap<String, VersionedTerms>,
@@ -115,7 +115,7 @@
     pub(super) demand: Demand,
     /// Vacant slots in `workers`, with the time at which each worker was gone, oldest
     /// first.
-    pub(super) vacant: VecDeque<(u64, WorkerKey)>,
+    pub(super) vacant_keys: VecDeque<(u64, WorkerKey)>,
     pub(super) worker_index: HashMap<String, WorkerKey>,
     /// Workers by address, including those that are gone.
     pub(super) address_index: HashMap<String, Vec<WorkerKey>>,
@@ -152,7 +152,7 @@
     pub(super) pass_at_ms: u64,
     /// Something changed that calls for a scheduling pass.
     pub(super) changed: bool,
-    pub(super) roster_asked: bool,
+    pub(super) roster_write_pending: bool,
     pub(super) actions: Vec<Action>,
 }
 
@@ -163,15 +163,15 @@
             epoch,
             tuning,
             now_ms,
-            began_ms: now_ms,
+            started_ms: now_ms,
             confirmed_ms: now_ms,
             resumed_ms: 0,
             last_decision_ms: now_ms,
             mean_gap_ms: 0.0,
             stored_state_read: false,
             recovering_until_ms: None,
-            earlier_leases_over_ms: 0,
-            earlier_owner_over: false,
+            earlier_leases_expired_ms: 0,
+            earlier_owner_exited: false,
             configuration: Arc::default(),
             terms: HashMap::new(),
             history: HashMap::new(),
@@ -190,7 +190,7 @@
             cancelled_early: HashSet::new(),
             groups: BTreeMap::new(),
             deleting_jobs: BTreeMap::new(),
-            vacant: VecDeque::new(),
+            vacant_keys: VecDeque::new(),
             upkeep: Upkeep::default(),
             emptying: Emptying::default(),
             first_polls: 0,
@@ -198,7 +198,7 @@
             review_at_ms: 0,
             pass_at_ms: 0,
             changed: false,
-            roster_asked: false,
+            roster_write_pending: false,
             actions: Vec::new(),
         }
     }
@@ -235,10 +235,10 @@
             } => self.handle_roster_worker(worker_name, address, closed_runs),
             Input::WorkerUnlisted(name) => self.handle_worker_unlisted(&name),
             Input::EntriesRead { sent_ms } => self.handle_entries_read(sent_ms),
-            Input::WorkerEntryUnusable {
+            Input::WorkerEntryInvalid {
                 worker_name,
                 reason,
-            } => self.handle_entry_unusable(&worker_name, reason),
+            } => self.handle_entry_invalid(&worker_name, reason),
             Input::JobUnreadable(id) => self.handle_job_unreadable(id),
             Input::JobReadable {
                 id,
@@ -254,9 +254,9 @@
             Input::ClosedWorker { worker_name, runs } => {
                 self.closed_without_roster.insert(worker_name, runs);
             }
-            Input::StoredStateRead { earlier_owner_over } => {
-                self.begin_recovery(earlier_owner_over)
-            }
+            Input::StoredStateRead {
+                earlier_owner_exited,
+            } => self.begin_recovery(earlier_owner_exited),
             Input::RosterStored(workers) => self.handle_roster_stored(&workers),
             Input::PollAnswered {
                 worker,
@@ -437,7 +437,7 @@
     }
 
     /// Returns the total capacity of the workers that match `counts`.
-    pub(super) fn room_of(&self, counts: impl Fn(&Worker) -> bool) -> Resources {
+    pub(super) fn capacity_of(&self, counts: impl Fn(&Worker) -> bool) -> Resources {
         let counted = self.workers.iter().filter(|worker| counts(worker));
         counted.fold(Resources::default(), |sum, worker| {
             sum.plus(&worker.info.capacity)
@@ -478,15 +478,15 @@
             self.review_lease_expiry(key);
             self.review_runs(key);
             if may_move {
-                self.review_leaving(key);
+                self.review_draining(key);
             }
             self.review_closing(key);
             self.poll_if_due(key);
         }
         if may_move {
-            self.review_evidence();
+            self.review_stalled_runs();
         }
-        self.review_sharing();
+        self.review_throttling();
         if may_move {
             self.review_upkeep();
         }
--- a/src/scheduler/throttling.rs
+++ b/src/scheduler/throttling.rs
@@ -29,7 +29,7 @@
 
 impl Scheduler {
     /// Adjusts the throttle of all runs that fill workers.
-    pub(super) fn review_sharing(&mut self) {
+    pub(super) fn review_throttling(&mut self) {
         for at in 0..self.workers.len() {
             let key = WorkerKey(at as u32);
             let worker = self.worker(key);
@@ -43,7 +43,7 @@
     /// Adjusts the throttle of the runs that fill a worker.
     fn throttle_worker(&mut self, key: WorkerKey) {
         let pressure = self.pressure(key);
-        let heard_ms = self.worker(key).heard_ms;
+        let last_response_ms = self.worker(key).last_response_ms;
         let mut changes: Vec<(RunName, u32)> = Vec::new();
         for (&name, run) in &self.worker(key).runs {
             if !run.fills || run.phase != RunPhase::Running || run.throttle_in_flight {
@@ -59,8 +59,8 @@
             // One step for each report of the worker. Above 100 percent stands for a
             // throttle that is not known, because its order may not have arrived: it is
             // sent again.
-            let may_change =
-                heard_ms > run.throttled_ms.max(run.ordered_ms) || run.throttle_percent > 100;
+            let may_change = last_response_ms > run.throttled_ms.max(run.ordered_ms)
+                || run.throttle_percent > 100;
             if wanted != run.throttle_percent && may_change {
                 changes.push((name, wanted));
             }
@@ -91,7 +91,7 @@
         if let Some(run) = worker.runs.get_mut(&name) {
             run.throttle_percent = percent;
             run.throttle_in_flight = true;
-            run.throttled_ms = worker.heard_ms;
+            run.throttled_ms = worker.last_response_ms;
             self.actions.push(Action::Throttle {
                 callee,
                 name,
--- a/src/scheduler/unreadable.rs
+++ b/src/scheduler/unreadable.rs
@@ -116,12 +116,12 @@
 
     /// Replaces an unreadable roster after the longest lease has expired: nothing runs any
     /// more on the workers that it names.
-    pub(super) fn replace_unread_roster(&mut self) {
+    pub(super) fn replace_unreadable_roster(&mut self) {
         if !std::mem::take(&mut self.roster_unreadable) {
             return;
         }
         self.closed_without_roster.clear();
-        self.roster_asked = true;
+        self.roster_write_pending = true;
         self.actions.push(Action::StoreRoster);
     }
 
@@ -130,10 +130,10 @@
     /// recovery for as long as any lease of this owner lasts. A worker that is stored as
     /// closed has to be stored as open before it gets work; otherwise the next owner would
     /// assume that nothing new runs there.
-    pub(super) fn join_unread_roster(&mut self, key: WorkerKey) {
+    pub(super) fn join_unreadable_roster(&mut self, key: WorkerKey) {
         let worker_name = self.worker(key).name();
         if let Some(runs) = self.closed_without_roster.remove(&*worker_name) {
-            self.take_closed(key, runs);
+            self.restore_closed_worker(key, runs);
         }
         let worker = self.worker_mut(key);
         worker.on_roster = worker.contact != Contact::Gone;
--- a/src/scheduler/upkeep.rs
+++ b/src/scheduler/upkeep.rs
@@ -285,7 +285,7 @@
             self.upkeep.list_at_ms = self.now_ms + LIST_INTERVAL_MS;
             self.actions.push(Action::ListMachines);
         }
-        let may_order = self.now_ms >= self.began_ms + self.tuning.holder_gap_ms;
+        let may_order = self.now_ms >= self.started_ms + self.tuning.holder_gap_ms;
         let numbers: Vec<u64> = self.upkeep.waves.keys().copied().collect();
         for number in numbers {
             if may_order && self.upkeep.listed {
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -72,7 +72,7 @@
     pub confirmed: bool,
     /// The worker reported the run long enough after its start that the start did not crash
     /// the worker.
-    pub outlived: bool,
+    pub survived_start: bool,
     /// A member of its gang listed an end of its own, so the whole gang has ended.
     pub gang_ended: bool,
     /// Its task was suspected of crashing workers when the run was started.
@@ -155,7 +155,7 @@
             phase: RunPhase::Running,
             ordered_ms: now_ms,
             confirmed: true,
-            outlived: true,
+            survived_start: true,
             gang_ended: false,
             on_trial: false,
             sends: 1,
@@ -206,11 +206,11 @@
     pub clock: Option<(u64, u64)>,
     /// A start had expired on arrival by that clock. The worker gets no more starts until
     /// its clock is read again.
-    pub clock_doubted: bool,
+    pub clock_suspect: bool,
     /// The latest end of any lease sent to it, on its clock.
     pub lease_end_ms: u64,
     /// When it last answered a poll.
-    pub heard_ms: u64,
+    pub last_response_ms: u64,
     /// Number of polls that failed in a row.
     pub failed_polls: u32,
     /// Its runs, each from its start order to its listed end.
@@ -282,9 +282,9 @@
             close_state: CloseState::Open,
             contact: Contact::Unfenced,
             clock: None,
-            clock_doubted: false,
+            clock_suspect: false,
             lease_end_ms: 0,
-            heard_ms: 0,
+            last_response_ms: 0,
             failed_polls: 0,
             runs: BTreeMap::new(),
             used: Resources::default(),
@@ -361,7 +361,7 @@
     /// has no free capacity of another resource either, and stopping one of its runs
     /// frees capacity for no other.
     pub fn is_overfull(&self) -> bool {
-        !self.info.capacity.holds(&self.used)
+        !self.info.capacity.contains(&self.used)
     }
 
     /// Whether its entry was written by a different incarnation from the one that answers.
@@ -390,7 +390,7 @@
             && !self.info.draining
             && self.failed_polls == 0
             && self.clock.is_some()
-            && !self.clock_doubted
+            && !self.clock_suspect
             && now_ms >= self.full_until_ms
             && now_ms >= self.quarantined_until_ms
             && now_ms >= self.trial_until_ms
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -46,28 +46,33 @@
     /// Records that all entries present at `sent_ms` have been handled.
     pub(super) fn handle_entries_read(&mut self, sent_ms: u64) {
         let bound_ms = self.tuning.entries_max_age_ms;
-        self.changed |= self.entries_freshness.note(sent_ms, self.now_ms, bound_ms);
+        self.changed |= self
+            .entries_freshness
+            .update(sent_ms, self.now_ms, bound_ms);
     }
 
     /// Whether a worker may get no starts because its capacity is not known.
-    pub(super) fn is_room_unknown(&self, key: WorkerKey) -> bool {
+    pub(super) fn is_capacity_unknown(&self, key: WorkerKey) -> bool {
         !self.knows_entries() && self.is_unguarded(key)
     }
 
     /// Logs once that some workers get no starts because their capacity is not known.
-    pub(super) fn note_entries_unread(&mut self) {
+    pub(super) fn report_stale_entries(&mut self) {
         if self.configuration.unguarded_services.is_empty() {
             return;
         }
         let bound_ms = self.tuning.entries_max_age_ms;
-        if let Some(known_ago_ms) = self.entries_freshness.untold_age_ms(self.now_ms, bound_ms) {
-            self.decided(Decision::EntriesUnread { known_ago_ms });
+        if let Some(known_ago_ms) = self
+            .entries_freshness
+            .unreported_age_ms(self.now_ms, bound_ms)
+        {
+            self.decided(Decision::EntriesStale { known_ago_ms });
         }
     }
 
     /// Handles an invalid entry of a known worker. Such an entry under an unknown name is
     /// ignored.
-    pub(super) fn handle_entry_unusable(&mut self, name: &str, reason: &'static str) {
+    pub(super) fn handle_entry_invalid(&mut self, name: &str, reason: &'static str) {
         let Some(&key) = self.worker_index.get(name) else {
             return;
         };
@@ -150,7 +155,7 @@
     /// worker with an address conflict. Its entry may have been overwritten with the address
     /// of another worker, so the answer of that worker does not end this one's incarnation;
     /// otherwise its runs would be started elsewhere while they continue.
-    pub(super) fn judged(&self, key: WorkerKey, outcome: CallOutcome) -> CallOutcome {
+    pub(super) fn effective_outcome(&self, key: WorkerKey, outcome: CallOutcome) -> CallOutcome {
         match outcome {
             CallOutcome::OtherIncarnation if self.worker(key).address_conflict.is_some() => {
                 CallOutcome::NoAnswer
@@ -169,12 +174,12 @@
         let (runs, worker) = (worker.runs.len(), worker.name());
         self.changed = true;
         self.decided(match problem {
-            Some(reason) => Decision::EntryUnusable {
+            Some(reason) => Decision::EntryInvalid {
                 worker,
                 reason,
                 runs,
             },
-            None => Decision::EntryUsable { worker, runs },
+            None => Decision::EntryValid { worker, runs },
         });
     }
 }
--- a/src/scheduler/worker_health.rs
+++ b/src/scheduler/worker_health.rs
@@ -101,7 +101,11 @@
     /// Returns the workers that the waiting tasks of a group avoid for a while. `None` if
     /// there are none, or if the other workers could not hold the tasks even when empty, so
     /// that waiting would not help.
-    pub(super) fn caution(&self, group: &Group, service: &str) -> Option<FailureAvoidance> {
+    pub(super) fn failure_avoidance(
+        &self,
+        group: &Group,
+        service: &str,
+    ) -> Option<FailureAvoidance> {
         let now_ms = self.now_ms;
         let terms = self.jobs[&group.key.job].terms();
         let max_attempts = terms.map_or(u32::MAX, |terms| terms.max_attempts);
@@ -117,13 +121,14 @@
                 && worker.info.service == service
                 && avoidance.allows(worker, now_ms)
         });
-        let capacity_elsewhere = others.map(|worker| worker.info.capacity.times(&group.resources));
+        let capacity_elsewhere =
+            others.map(|worker| worker.info.capacity.count_fitting(&group.resources));
         let capacity_elsewhere = capacity_elsewhere.fold(0u32, u32::saturating_add);
         (capacity_elsewhere >= group.waiting).then_some(avoidance)
     }
 
     /// Records that a run failed on a worker, and quarantines the worker if needed.
-    pub(super) fn note_failure(&mut self, key: WorkerKey, name: RunName) {
+    pub(super) fn record_failure(&mut self, key: WorkerKey, name: RunName) {
         let now_ms = self.now_ms;
         let worker = self.worker_mut(key);
         worker.failures.push((now_ms, name.task.job));
@@ -158,14 +163,14 @@
     }
 
     /// Records that a run was done on a worker, which clears its failures.
-    pub(super) fn note_success(&mut self, key: WorkerKey) {
+    pub(super) fn record_success(&mut self, key: WorkerKey) {
         let worker = self.worker_mut(key);
         worker.failures.clear();
         worker.quarantine_ms = 0;
     }
 
     /// Stops runs that make no progress, and quarantines their workers.
-    pub(super) fn review_evidence(&mut self) {
+    pub(super) fn review_stalled_runs(&mut self) {
         let now_ms = self.now_ms;
         let mut stalled = Vec::new();
         for worker in &self.workers {
@@ -173,7 +178,7 @@
                 continue;
             }
             for (&name, run) in &worker.runs {
-                if self.is_hanging(worker.heard_ms, name, run) {
+                if self.is_hanging(worker.last_response_ms, name, run) {
                     stalled.push((worker.key, name));
                 }
             }
@@ -192,12 +197,12 @@
     /// Whether a run makes no progress because of its worker. A run on spare cores may get
     /// no processor time for a while. A member of a gang waits for the others at its start
     /// and at its end, so it hangs only if it is behind them.
-    fn is_hanging(&self, heard_ms: u64, name: RunName, run: &Run) -> bool {
+    fn is_hanging(&self, last_response_ms: u64, name: RunName, run: &Run) -> bool {
         let is_exempt = run.phase != RunPhase::Running
             || run.long_running
             || run.fills
             || run.percent >= NEARLY_DONE_PERCENT;
-        let without_progress_ms = heard_ms.saturating_sub(run.advanced_ms);
+        let without_progress_ms = last_response_ms.saturating_sub(run.advanced_ms);
         if is_exempt || without_progress_ms < STALL_MS {
             return false;
         }
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -58,7 +58,7 @@
 
 impl Worker {
     /// Records that a start had no answer.
-    pub(super) fn note_late_start(&mut self, name: RunName, resources: Resources, now_ms: u64) {
+    pub(super) fn record_late_start(&mut self, name: RunName, resources: Resources, now_ms: u64) {
         let until_ms = now_ms + LATE_START_MS;
         self.late_starts
             .retain(|late| now_ms < late.until_ms && late.name != name);
@@ -211,7 +211,7 @@
         run.throttle_in_flight = false;
         if !run.confirmed {
             let worker = self.worker_mut(key);
-            worker.note_late_start(name, run.resources, now_ms);
+            worker.record_late_start(name, run.resources, now_ms);
         }
         if !listed {
             run.phase = RunPhase::Stopping;
--- a/src/scheduler/worker_speed.rs
+++ b/src/scheduler/worker_speed.rs
@@ -101,7 +101,7 @@
 impl Progress {
     /// Records the progress that a worker lists. 0 and 100 percent are ignored: there the
     /// members of a gang wait for each other, so the times say nothing about speed.
-    pub(super) fn note(&mut self, percent: u32, clock_ms: u64, received_ms: u64) {
+    pub(super) fn record(&mut self, percent: u32, clock_ms: u64, received_ms: u64) {
         if percent == 0 || percent >= 100 {
             return;
         }
@@ -259,12 +259,12 @@
             return;
         };
         let (known, estimated_ms) = (group.run_time, group.step.estimated_ms);
-        if known.variance <= KNOWN_VARIANCE && !group.run_time_noted {
+        if known.variance <= KNOWN_VARIANCE && !group.run_time_learned {
             let queue = self.jobs[&key.job].record.queue.clone();
             let history = self.history.entry(queue).or_default();
             history.run_times.observe(estimated_ms, known.mean);
             if let Some(group) = self.groups.get_mut(&key) {
-                group.run_time_noted = true;
+                group.run_time_learned = true;
             }
         }
         self.refresh_objective(key.job, key.occurrence);
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -46,7 +46,7 @@
     /// From now on the store holds back progress (`true`) or stores it at once.
     HoldProgress(bool),
     /// Another daemon becomes the owner.
-    ChangeOwner { earlier_owner_over: bool },
+    ChangeOwner { earlier_owner_exited: bool },
     /// This many milliseconds pass.
     Advance(u16),
 }
@@ -58,8 +58,8 @@
         2 => any::<u8>().prop_map(Event::Crash),
         1 => any::<u8>().prop_map(Event::ToggleReachable),
         1 => any::<bool>().prop_map(Event::HoldProgress),
-        2 => any::<bool>().prop_map(|earlier_owner_over| {
-            Event::ChangeOwner { earlier_owner_over }
+        2 => any::<bool>().prop_map(|earlier_owner_exited| {
+            Event::ChangeOwner { earlier_owner_exited }
         }),
         8 => (10..4_000u16).prop_map(Event::Advance),
     ]
@@ -105,7 +105,9 @@
                 }
                 Event::ToggleReachable(which) => self.toggle_reachable(which),
                 Event::HoldProgress(next) => delays_progress = next,
-                Event::ChangeOwner { earlier_owner_over } => self.change_owner(earlier_owner_over),
+                Event::ChangeOwner {
+                    earlier_owner_exited,
+                } => self.change_owner(earlier_owner_exited),
                 Event::Advance(by_ms) => self.advance_checked(u64::from(by_ms), delays_progress),
             }
         }
@@ -145,7 +147,7 @@
         }
     }
 
-    fn change_owner(&mut self, earlier_owner_over: bool) {
+    fn change_owner(&mut self, earlier_owner_exited: bool) {
         let lost: Vec<RunName> = self
             .fleet
             .crashed
@@ -158,7 +160,9 @@
         let deleted = &self.fleet.forgotten;
         let jobs = self.jobs.iter().filter(|(id, _)| !deleted.contains(id));
         let jobs: Vec<_> = jobs.cloned().collect();
-        let mut next = self.fleet.next_owner(self.epoch, &jobs, earlier_owner_over);
+        let mut next = self
+            .fleet
+            .next_owner(self.epoch, &jobs, earlier_owner_exited);
         next.holds_progress = true;
         self.fleet = next;
     }
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -44,8 +44,8 @@
         1 => any::<u8>().prop_map(Event::Cancel),
         2 => any::<u8>().prop_map(Event::ToggleResponding),
         1 => any::<u8>().prop_map(Event::LoseWorker),
-        2 => (any::<bool>(), any::<bool>()).prop_map(|(earlier_owner_over, behind)| {
-            Event::ChangeOwner { earlier_owner_over, behind }
+        2 => (any::<bool>(), any::<bool>()).prop_map(|(earlier_owner_exited, behind)| {
+            Event::ChangeOwner { earlier_owner_exited, behind }
         }),
         1 => Just(Event::ReportJobs),
         4 => (10..600u16).prop_map(Event::Wait),
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -353,11 +353,11 @@
     assert_eq!(running_in(&fleet, "a"), 8);
     let logged = decisions(&fleet);
     let back = logged.iter().any(|decision| {
-        matches!(decision, Decision::DataCentreBack { data_centre, emptied_ms, .. }
+        matches!(decision, Decision::EmptyingWithdrawn { data_centre, emptied_ms, .. }
             if &**data_centre == "a" && *emptied_ms == 1_000)
     });
     let used = logged.iter().any(|decision| {
-        matches!(decision, Decision::DataCentreUsed { data_centre, after_ms: 0 }
+        matches!(decision, Decision::FirstStartAfterEmptying { data_centre, after_ms: 0 }
             if &**data_centre == "a")
     });
     assert!(back && used, "{logged:?}");
@@ -595,7 +595,7 @@
     fleet.advance(2_000);
     assert_eq!(fleet.running().len(), 1);
     let logged = decisions(&fleet);
-    let is_stale = |decision: &&Decision| matches!(decision, Decision::OrdersUnread { .. });
+    let is_stale = |decision: &&Decision| matches!(decision, Decision::OrdersStale { .. });
     assert_eq!(
         logged.iter().filter(is_stale).count(),
         1,
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -300,7 +300,7 @@
 fn input_from_bytes(worker_name: &str, bytes: &[u8]) -> Input {
     match decode_worker(worker_name, bytes) {
         Ok(info) => Input::WorkerRegistered(info),
-        Err(error) => Input::WorkerEntryUnusable {
+        Err(error) => Input::WorkerEntryInvalid {
             worker_name: worker_name.to_owned(),
             reason: error.reason(),
         },
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -1,4 +1,4 @@
-//! How the scheduler treats workers with unusable entries and unreadable records.
+//! How the scheduler treats workers with invalid entries and unreadable records.
 
 use super::fleet::{
     Fleet,
@@ -21,8 +21,8 @@
 /// Longer than any lease lasts.
 const LEASES_EXPIRED_MS: u64 = 15_000;
 
-fn unusable_entry(name: &str) -> Input {
-    Input::WorkerEntryUnusable {
+fn invalid_entry(name: &str) -> Input {
+    Input::WorkerEntryInvalid {
         worker_name: name.to_owned(),
         reason: "bad_state",
     }
@@ -66,7 +66,7 @@
 fn a_worker_whose_entry_becomes_unreadable_keeps_its_runs_and_gets_no_new_ones() {
     let (mut fleet, first, worker, run) = with_one_run();
 
-    fleet.tell(unusable_entry(&worker));
+    fleet.tell(invalid_entry(&worker));
     fleet.submit(2, record("plain", vec![step(8, 1)]));
     fleet.submit(3, record("plain", vec![step(4, 1)]));
     work_for(&mut fleet, LEASES_EXPIRED_MS);
@@ -94,7 +94,7 @@
     let workers = fleet.scheduler.workers().len();
 
     for at in 0..1_000 {
-        fleet.tell(unusable_entry(&format!("nobody-{at}")));
+        fleet.tell(invalid_entry(&format!("nobody-{at}")));
     }
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
@@ -111,7 +111,7 @@
     let spec = record("plain", vec![step(1, 1)]);
 
     let mut next = fleet.next_owner(2, &[(job, spec)], false);
-    next.tell(unusable_entry(&worker));
+    next.tell(invalid_entry(&worker));
     work_for(&mut next, LEASES_EXPIRED_MS);
 
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on, once");
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -49,7 +49,7 @@
         scheduler.handle(roster_worker, BEGIN_MS);
     }
     let state_read = Input::StoredStateRead {
-        earlier_owner_over: true,
+        earlier_owner_exited: true,
     };
     scheduler.handle(state_read, BEGIN_MS);
     scheduler
@@ -686,7 +686,7 @@
         },
         Input::EpochConfirmed(BEGIN_MS),
         Input::StoredStateRead {
-            earlier_owner_over: false,
+            earlier_owner_exited: false,
         },
     ];
     for input in inputs {
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -459,7 +459,7 @@
     let mut fleet = Fleet::with_workers(1);
     let job = record("plain", vec![step(1, 1)]);
     let id = fleet.submit(1, job.clone());
-    fleet.refusal = Some(StartRefusal::NoRoom);
+    fleet.refusal = Some(StartRefusal::NoCapacity);
     fleet.advance(LONG_MS);
     let before = fleet.starts.last().expect("a start was tried").0.run;
 
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -350,7 +350,7 @@
             fleet.add_worker(&format!("w{at}"), "r1");
         }
         fleet.tell(Input::StoredStateRead {
-            earlier_owner_over: true,
+            earlier_owner_exited: true,
         });
         fleet.advance(WARM_UP_MS);
         fleet
@@ -371,10 +371,10 @@
         &self,
         epoch: u64,
         jobs: &[(JobId, JobRecord)],
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
     ) -> Self {
         let known = configuration(64);
-        self.next_owner_under(epoch, known, jobs, earlier_owner_over)
+        self.next_owner_under(epoch, known, jobs, earlier_owner_exited)
     }
 
     /// As [`Fleet::next_owner`], with `known` as the configuration of the new owner.
@@ -383,9 +383,9 @@
         epoch: u64,
         known: ClusterConfiguration,
         jobs: &[(JobId, JobRecord)],
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
     ) -> Self {
-        self.next_owner_with(epoch, earlier_owner_over, |next| {
+        self.next_owner_with(epoch, earlier_owner_exited, |next| {
             next.tell(Input::Configure(Arc::new(known)));
             let mut names: Vec<&String> = self.workers.keys().collect();
             names.sort();
@@ -422,10 +422,10 @@
     pub fn next_owner_told(
         &self,
         epoch: u64,
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
         tell: impl FnOnce(&mut Self),
     ) -> Self {
-        self.next_owner_with(epoch, earlier_owner_over, |next| {
+        self.next_owner_with(epoch, earlier_owner_exited, |next| {
             next.tell(Input::Configure(Arc::new(configuration(64))));
             tell(next);
         })
@@ -434,7 +434,7 @@
     fn next_owner_with(
         &self,
         epoch: u64,
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
         tell: impl FnOnce(&mut Self),
     ) -> Self {
         let scheduler = Scheduler::new(epoch, Tuning::default(), self.now_ms);
@@ -455,7 +455,9 @@
         next.closed = self.closed.clone();
         next.forgotten = self.forgotten.clone();
         tell(&mut next);
-        next.tell(Input::StoredStateRead { earlier_owner_over });
+        next.tell(Input::StoredStateRead {
+            earlier_owner_exited,
+        });
         next
     }
 
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -265,7 +265,7 @@
             replay.send_input(Input::WorkerRegistered(worker_info(site, at)));
         }
         replay.send_input(Input::StoredStateRead {
-            earlier_owner_over: true,
+            earlier_owner_exited: true,
         });
         replay.draw_jobs(load);
         while replay.now_ms < BEGIN_MS + WARM_UP_MS {
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -255,8 +255,8 @@
         let worker = &self.workers[at];
         let used = worker.running.values();
         let used = used.fold(Resources::default(), |sum, run| sum.plus(&run.resources));
-        if !self.site.capacity.minus(&used).holds(&step.needs) {
-            return CallOutcome::Refused(StartRefusal::NoRoom);
+        if !self.site.capacity.minus(&used).contains(&step.needs) {
+            return CallOutcome::Refused(StartRefusal::NoCapacity);
         }
         let slowness = worker.slowness * if remote { REMOTE_FACTOR } else { 1.0 };
         let left_ms = run_ms.saturating_sub(saved_ms);
--- a/tests/support/twice.rs
+++ b/tests/support/twice.rs
@@ -53,7 +53,7 @@
     LoseWorker(u8),
     /// Another daemon becomes the owner. If `behind`, it may not have read the newest job.
     ChangeOwner {
-        earlier_owner_over: bool,
+        earlier_owner_exited: bool,
         behind: bool,
     },
     /// The owner reads all stored jobs.
@@ -124,9 +124,9 @@
                 }
             }
             Event::ChangeOwner {
-                earlier_owner_over,
+                earlier_owner_exited,
                 behind,
-            } => self.change_owner(earlier_owner_over, behind),
+            } => self.change_owner(earlier_owner_exited, behind),
             Event::ReportJobs => self.report_jobs(),
             Event::Wait(by_ms) => self.wait(u64::from(by_ms)),
             Event::WaitLong => self.fleet.now_ms += BEYOND_RETENTION_MS,
@@ -283,21 +283,24 @@
         self.fleet.add_worker(&next, "r1");
     }
 
-    fn change_owner(&mut self, earlier_owner_over: bool, behind: bool) {
+    fn change_owner(&mut self, earlier_owner_exited: bool, behind: bool) {
         self.check();
         self.epoch += 1;
         self.unreported.clear();
         // An earlier owner that still runs may learn of a job that was stored after the
         // next owner had read the stored jobs. A job with stored progress cannot be one.
         let newest = self.jobs.last().map(|(job, _)| *job);
-        let may_be_new = |job: &JobId| !earlier_owner_over && !self.fleet.stored.contains_key(job);
+        let may_be_new =
+            |job: &JobId| !earlier_owner_exited && !self.fleet.stored.contains_key(job);
         let newest = newest.filter(|job| behind && may_be_new(job));
         self.unreported.extend(newest);
         let is_reported =
             |job: &JobId| !self.unreported.contains(job) && !self.fleet.forgotten.contains(job);
         let jobs = self.jobs.iter().filter(|(job, _)| is_reported(job));
         let jobs: Vec<_> = jobs.cloned().collect();
-        let mut next = self.fleet.next_owner(self.epoch, &jobs, earlier_owner_over);
+        let mut next = self
+            .fleet
+            .next_owner(self.epoch, &jobs, earlier_owner_exited);
         next.holds_progress = true;
         next.follows_jobs = self.unreported.is_empty();
         for &job in &self.cancelled {
