--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -95,7 +95,7 @@
             Ok(info) => Input::WorkerRegistered(info),
             Err(error) => {
                 let reason = error.reason();
-                reporter.note(StoredKind::Worker, item, &error.into(), NOW_MS);
+                reporter.record(StoredKind::Worker, item, &error.into(), NOW_MS);
                 Input::WorkerEntryInvalid {
                     worker_name: worker_name.to_owned(),
                     reason,
--- a/src/cluster/commits.rs
+++ b/src/cluster/commits.rs
@@ -53,7 +53,7 @@
                 }
                 count_retry("commit_conflict");
             }
-            Ok(CommitResult::LeaseOver) => {}
+            Ok(CommitResult::LeaseExpired) => {}
             Err(error) => {
                 count_retry(match error {
                     StoreError::Refused => "store_refused",
--- a/src/cluster/control.rs
+++ b/src/cluster/control.rs
@@ -249,7 +249,7 @@
             Action::StoreRoster => roster = true,
             Action::StoreClosedWorker { worker } => {
                 let record = scheduler.closed_record(*worker);
-                let record = record.map(|(closed, runs)| ClosedRecord::of(closed, &runs));
+                let record = record.map(|(closed, runs)| ClosedRecord::new(closed, &runs));
                 let info = &scheduler.workers()[worker.index()].info;
                 closed.insert(info.worker_name.clone(), record);
             }
--- a/src/cluster/heartbeat.rs
+++ b/src/cluster/heartbeat.rs
@@ -124,7 +124,9 @@
 async fn fetch_configuration(node: Rc<Node>, address: SocketAddr) {
     let version = node.configuration().version;
     let request = PeerBody::ConfigurationAbove(version);
-    let answer = node.peers.ask(address, request, CONFIGURATION_TIMEOUT_MS);
+    let answer = node
+        .peers
+        .request(address, request, CONFIGURATION_TIMEOUT_MS);
     if let Some(PeerBody::Configuration(bytes)) = answer.await {
         match serde_json::from_slice::<ClusterConfiguration>(&bytes) {
             Ok(configuration) => node.configure(configuration),
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -24,8 +24,8 @@
     decode_root,
     job_id,
     job_key,
+    parse_job_key, //
     progress_key,
-    read_job_key, //
 };
 use super::store_types::{
     StoreError,
@@ -273,7 +273,7 @@
         }
     }
     for item in store.range(JOBS_PREFIX, true).await?.items {
-        let kind = read_job_key(&item.key);
+        let kind = parse_job_key(&item.key);
         if let Some(JobKeyKind::Job(_)) = kind {
             report.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
         }
--- a/src/cluster/invalid_values.rs
+++ b/src/cluster/invalid_values.rs
@@ -176,7 +176,7 @@
 impl InvalidValueReporter {
     /// Counts an invalid value and logs it within the rate, unless this revision was
     /// already counted. Returns whether a line was written.
-    pub fn note(
+    pub fn record(
         &mut self,
         kind: StoredKind,
         item: &StoredItem,
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -296,12 +296,12 @@
         let now_ms = self.now_ms();
         self.invalid_values
             .borrow_mut()
-            .note(kind, item, reason, now_ms);
+            .record(kind, item, reason, now_ms);
     }
 
     /// Records that a stored value of a job cannot be decoded, so that it is read
     /// again until it can be. The caller informs the scheduler.
-    pub fn note_unreadable(&self, job: JobId) {
+    pub fn record_unreadable(&self, job: JobId) {
         self.unreadable_jobs.borrow_mut().insert(job);
     }
 
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -31,10 +31,10 @@
 use super::store_watch;
 use super::stored_inputs::{
     closed_records,
-    closed_workers,
+    closed_worker_inputs,
     emptied_records,
     job_inputs,
-    known_workers,
+    roster_inputs,
     wave_inputs,
     worker_inputs, //
 };
@@ -96,7 +96,7 @@
     }
     // A restarted daemon has ended its earlier incarnation; heartbeats carry the boot
     // number of the present one.
-    let earlier = known.not_over(began_ms, |owner, boot| {
+    let earlier = known.possibly_active_owners(began_ms, |owner, boot| {
         node.is_incarnation_over(owner, boot)
     });
     let earlier_owner_exited = earlier.is_empty();
@@ -114,7 +114,7 @@
     };
     let committed_revision = match node.store.commit(&transaction).await {
         Ok(CommitResult::Done { revision }) => Some(revision),
-        Ok(CommitResult::Conflict(_) | CommitResult::LeaseOver) => None,
+        Ok(CommitResult::Conflict(_) | CommitResult::LeaseExpired) => None,
         Err(StoreError::Refused) => return Err(StoreError::Refused),
         // The commit may have been carried out; the root record shows whether it was.
         Err(StoreError::NoAnswer) => {
@@ -209,18 +209,19 @@
     let mut stored = vec![Input::Configure(node.configuration())];
     let mut roster_count = 0;
     if let Some(item) = roster {
-        node.pending_writes.note_revision(ROSTER_KEY, item.revision);
+        node.pending_writes
+            .record_revision(ROSTER_KEY, item.revision);
         let decoded = decode::<Vec<RosterRow>>(&item.value);
         let rows = node.valid_value(StoredKind::Roster, &item, decoded);
         let records = closed_records(node, &closed);
         match rows {
             Some(rows) => {
                 roster_count = rows.len();
-                stored.extend(known_workers(node, rows, records));
+                stored.extend(roster_inputs(node, rows, records));
             }
             None => {
                 stored.push(Input::RosterUnreadable);
-                stored.extend(closed_workers(records));
+                stored.extend(closed_worker_inputs(records));
             }
         }
     }
@@ -230,13 +231,14 @@
     });
     stored.extend(job_inputs(node, &jobs, &progress));
     for item in &states.items {
-        node.pending_writes.note_revision(&item.key, item.revision);
+        node.pending_writes
+            .record_revision(&item.key, item.revision);
     }
     stored.extend(wave_inputs(node, &waves, &states));
     stored.push(emptying::input(node));
     let found = emptied_records(node, &emptied);
     node.pending_writes
-        .note_emptied(found, &node.emptying_orders().in_force());
+        .record_emptied(found, &node.emptying_orders().in_force());
     stored.push(Input::EpochConfirmed(began_ms));
     stored.push(Input::StoredStateRead {
         earlier_owner_exited: taken.earlier_owner_exited,
@@ -261,7 +263,7 @@
     actix_rt::spawn(store_watch::reread_waves(node.clone(), epoch));
     actix_rt::spawn(store_watch::jobs(node.clone(), epoch, jobs.revision));
     actix_rt::spawn(store_watch::workers(node.clone(), epoch, workers));
-    actix_rt::spawn(unreadable_jobs::read_again(node.clone(), epoch));
+    actix_rt::spawn(unreadable_jobs::reread_jobs(node.clone(), epoch));
     actix_rt::spawn(confirm(node.clone(), epoch));
     Ok(())
 }
--- a/src/cluster/peer_connections.rs
+++ b/src/cluster/peer_connections.rs
@@ -77,7 +77,7 @@
     /// Sends a request and waits for the response; `None` when none arrived within
     /// `timeout_ms`. The next request then opens a new connection, since this one may
     /// never carry data again.
-    pub async fn ask(
+    pub async fn request(
         &self,
         address: SocketAddr,
         body: PeerBody,
@@ -231,7 +231,7 @@
 }
 
 /// The number that stands for a job's status in a frame; 0 for an unknown job.
-pub fn code_of(status: Option<crate::scheduler::JobStatus>) -> u32 {
+pub fn status_code(status: Option<crate::scheduler::JobStatus>) -> u32 {
     use crate::scheduler::JobStatus;
     match status {
         None => 0,
@@ -243,8 +243,8 @@
     }
 }
 
-/// The status that a number of [`code_of`] stands for.
-pub fn status_of(code: u32) -> Option<crate::scheduler::JobStatus> {
+/// The status that a number of [`status_code`] stands for.
+pub fn status_from_code(code: u32) -> Option<crate::scheduler::JobStatus> {
     use crate::scheduler::JobStatus;
     match code {
         1 => Some(JobStatus::Queued),
--- a/src/cluster/peer_frame.rs
+++ b/src/cluster/peer_frame.rs
@@ -22,7 +22,7 @@
     /// Asks for the status of a job.
     #[prost(fixed64, tag = "2")]
     JobStatusOf(u64),
-    /// The status, as a number of [`super::peer_connections::code_of`].
+    /// The status, as a number of [`super::peer_connections::status_code`].
     #[prost(uint32, tag = "3")]
     JobStatus(u32),
     /// Asks how many jobs of a queue wait.
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -153,14 +153,14 @@
     }
 
     /// Records the revision at which a value was read.
-    pub fn note_revision(&self, key: &str, revision: u64) {
+    pub fn record_revision(&self, key: &str, revision: u64) {
         let mut pending = self.pending.borrow_mut();
         pending.revisions.insert(key.to_owned(), revision);
     }
 
     /// Records what earlier owners stored of emptied data centres. A record whose order
     /// is no longer in force is removed; the others stay as they were first stored.
-    pub fn note_emptied(&self, found: Vec<StoredEmptied>, in_force: &[EmptyingOrder]) {
+    pub fn record_emptied(&self, found: Vec<StoredEmptied>, in_force: &[EmptyingOrder]) {
         let mut pending = self.pending.borrow_mut();
         for (key, revision, record) in found {
             let name = key.strip_prefix(EMPTIED_PREFIX).unwrap_or_default();
--- a/src/cluster/records.rs
+++ b/src/cluster/records.rs
@@ -76,7 +76,7 @@
     /// Returns the owners, including the one of this root, that may still give leases
     /// when a daemon takes over at `now_ms`. The last owner alone is not enough: an
     /// owner that is cut off goes on, even if the owner after it crashes at once.
-    pub fn not_over(
+    pub fn possibly_active_owners(
         &self,
         now_ms: u64,
         is_incarnation_over: impl Fn(&str, u64) -> bool,
@@ -132,7 +132,7 @@
 
 impl ClosedRecord {
     /// Creates the record of a worker on which `closed_runs` may be.
-    pub fn of(closed: bool, closed_runs: &ClosedRuns) -> Self {
+    pub fn new(closed: bool, closed_runs: &ClosedRuns) -> Self {
         let runs = closed_runs.runs.iter();
         let confirmed = closed_runs.confirmed.iter();
         Self {
@@ -227,7 +227,7 @@
 }
 
 /// Parses a key under [`JOBS_PREFIX`].
-pub fn read_job_key(key: &str) -> Option<JobKeyKind> {
+pub fn parse_job_key(key: &str) -> Option<JobKeyKind> {
     let name = key.strip_prefix(JOBS_PREFIX)?;
     match name.strip_suffix(CANCELLED_SUFFIX) {
         Some(job) => job_id(job).map(JobKeyKind::Cancelled),
--- a/src/cluster/store_types.rs
+++ b/src/cluster/store_types.rs
@@ -89,5 +89,5 @@
     /// A key had another revision. Contains the present values of the expected keys.
     Conflict(Vec<StoredItem>),
     /// The lease has expired.
-    LeaseOver,
+    LeaseExpired,
 }
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -22,7 +22,7 @@
     decode_root,
     encode,
     member_key,
-    read_job_key, //
+    parse_job_key, //
 };
 use super::store_types::{
     StoreError,
@@ -369,7 +369,7 @@
 
 /// Passes a value under the prefix of the jobs to the scheduler.
 fn handle_job_value(node: &Node, epoch: u64, item: &StoredItem) {
-    match read_job_key(&item.key) {
+    match parse_job_key(&item.key) {
         Some(JobKeyKind::Job(id)) => {
             let decoded = decode_job_record(&item.value);
             let input = match node.valid_value(StoredKind::Job, item, decoded) {
@@ -379,7 +379,7 @@
                     progress: None,
                 },
                 None => {
-                    node.note_unreadable(id);
+                    node.record_unreadable(id);
                     Input::JobUnreadable(id)
                 }
             };
--- a/src/cluster/stored_inputs.rs
+++ b/src/cluster/stored_inputs.rs
@@ -23,7 +23,7 @@
     decode_job_record,
     decode_progress,
     job_id,
-    read_job_key, //
+    parse_job_key, //
 };
 use super::store_types::{
     StoredItem, //
@@ -53,7 +53,8 @@
 /// Decodes the records of closed workers, and records their revisions for later writes.
 pub fn closed_records(node: &Node, closed: &StoredRange) -> ClosedRecords {
     let records = closed.items.iter().map(|item| {
-        node.pending_writes.note_revision(&item.key, item.revision);
+        node.pending_writes
+            .record_revision(&item.key, item.revision);
         let worker_name = item.key.strip_prefix(CLOSED_PREFIX).unwrap_or_default();
         let record = node.valid_value(StoredKind::Closed, item, decode(&item.value));
         (worker_name.to_owned(), record)
@@ -65,7 +66,7 @@
 /// record that cannot be decoded names no runs, so its worker may run anything; the
 /// record is overwritten with that of an open worker. Records of workers that are not
 /// on the roster are removed.
-pub fn known_workers(node: &Node, rows: Vec<RosterRow>, mut records: ClosedRecords) -> Vec<Input> {
+pub fn roster_inputs(node: &Node, rows: Vec<RosterRow>, mut records: ClosedRecords) -> Vec<Input> {
     let mut inputs = Vec::with_capacity(rows.len());
     let mut changed = Vec::new();
     for row in rows {
@@ -93,7 +94,7 @@
 
 /// Returns inputs for all closed workers, for a roster that cannot be decoded: it may
 /// name any of them.
-pub fn closed_workers(records: ClosedRecords) -> Vec<Input> {
+pub fn closed_worker_inputs(records: ClosedRecords) -> Vec<Input> {
     let records = records.into_iter();
     let closed = records.filter_map(|(worker_name, record)| {
         let runs = record?.closed_runs()?;
@@ -175,7 +176,8 @@
 pub fn job_inputs(node: &Node, jobs: &StoredRange, progress: &StoredRange) -> Vec<Input> {
     let mut progress_by_job: HashMap<JobId, Option<ProgressRecord>> = HashMap::new();
     for item in &progress.items {
-        node.pending_writes.note_revision(&item.key, item.revision);
+        node.pending_writes
+            .record_revision(&item.key, item.revision);
         let Some(job) = item.key.strip_prefix(PROGRESS_PREFIX).and_then(job_id) else {
             node.report_invalid(
                 StoredKind::Progress,
@@ -189,7 +191,7 @@
     }
     let mut inputs = Vec::with_capacity(jobs.items.len());
     for item in &jobs.items {
-        match read_job_key(&item.key) {
+        match parse_job_key(&item.key) {
             Some(JobKeyKind::Job(id)) => {
                 let decoded = decode_job_record(&item.value);
                 let record = node.valid_value(StoredKind::Job, item, decoded);
@@ -199,7 +201,7 @@
                         inputs.push(job_input(id, record, Some(progress)));
                     }
                     _ => {
-                        node.note_unreadable(id);
+                        node.record_unreadable(id);
                         inputs.push(Input::JobUnreadable(id));
                     }
                 }
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -8,7 +8,7 @@
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
-use super::peer_connections::status_of;
+use super::peer_connections::status_from_code;
 use super::peer_frame::{
     JobBytes,
     PeerBody, //
@@ -106,7 +106,7 @@
             job: job.0,
             record: bytes.to_vec(),
         });
-        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+        outcome = forwarded_outcome(node.peers.request(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if outcome == StorageOutcome::Done && node.owns() {
         send_job_input(node, job, record);
     } else if outcome == StorageOutcome::Done {
@@ -150,7 +150,7 @@
             Ok(CommitResult::Done { .. } | CommitResult::Conflict(_)) => {
                 return StorageOutcome::Done;
             }
-            Ok(CommitResult::LeaseOver) => return StorageOutcome::Refused,
+            Ok(CommitResult::LeaseExpired) => return StorageOutcome::Refused,
             Err(StoreError::Refused) if refusal_is_final => return StorageOutcome::Refused,
             Err(StoreError::Refused) => {}
             Err(StoreError::NoAnswer) => refusal_is_final = false,
@@ -180,7 +180,7 @@
             Ok(record) => send_job_input(node, job, record),
             // The watch of the store reports the invalid record.
             Err(_) => {
-                node.note_unreadable(job);
+                node.record_unreadable(job);
                 node.control
                     .send_input(node.epoch(), Input::JobUnreadable(job));
             }
@@ -202,7 +202,7 @@
     actix_rt::spawn(async move {
         if node
             .peers
-            .ask(owner.address, body, OWNER_TIMEOUT_MS)
+            .request(owner.address, body, OWNER_TIMEOUT_MS)
             .await
             .is_none()
         {
@@ -224,7 +224,7 @@
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "cancel").increment(1);
         let body = PeerBody::Cancel(job.0);
-        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+        outcome = forwarded_outcome(node.peers.request(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if outcome == StorageOutcome::Done {
         tell_owner_of_cancellation(node, job);
     }
@@ -271,7 +271,7 @@
     match node.store.commit(&transaction).await? {
         CommitResult::Done { .. } => Ok(StorageOutcome::Done),
         // The job was deleted in between.
-        CommitResult::Conflict(_) | CommitResult::LeaseOver => Ok(StorageOutcome::NoSuchJob),
+        CommitResult::Conflict(_) | CommitResult::LeaseExpired => Ok(StorageOutcome::NoSuchJob),
     }
 }
 
@@ -298,13 +298,13 @@
         return node.control.job_status(job).await;
     }
     let owner = node.owner()?;
-    let answer = node.peers.ask(
+    let answer = node.peers.request(
         owner.address,
         PeerBody::JobStatusOf(job.0),
         OWNER_TIMEOUT_MS,
     );
     match answer.await? {
-        PeerBody::JobStatus(code) => Some(status_of(code)),
+        PeerBody::JobStatus(code) => Some(status_from_code(code)),
         _ => None,
     }
 }
@@ -348,7 +348,11 @@
             node.control.pending(queue).await
         } else if let Some(owner) = node.owner() {
             let body = PeerBody::PendingCountOf(queue.to_owned());
-            match node.peers.ask(owner.address, body, OWNER_TIMEOUT_MS).await {
+            match node
+                .peers
+                .request(owner.address, body, OWNER_TIMEOUT_MS)
+                .await
+            {
                 Some(PeerBody::PendingCount(pending)) => Some(pending),
                 _ => None,
             }
@@ -368,7 +372,7 @@
     match body {
         PeerBody::JobStatusOf(job) => {
             let status = node.control.job_status(JobId(job)).await?;
-            Some(PeerBody::JobStatus(super::peer_connections::code_of(
+            Some(PeerBody::JobStatus(super::peer_connections::status_code(
                 status,
             )))
         }
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -26,7 +26,7 @@
 const MAX_JOBS_PER_ROUND: usize = 16;
 
 /// Rereads unreadable jobs for as long as this daemon owns under `epoch`.
-pub async fn read_again(node: Rc<Node>, epoch: u64) {
+pub async fn reread_jobs(node: Rc<Node>, epoch: u64) {
     let mut from = JobId(0);
     loop {
         node.timer.sleep(ROUND_INTERVAL_MS).await;
@@ -61,7 +61,8 @@
     let decoded_progress = match progress {
         None => Some(None),
         Some(item) => {
-            node.pending_writes.note_revision(&item.key, item.revision);
+            node.pending_writes
+                .record_revision(&item.key, item.revision);
             let decoded = decode_progress(&item.value);
             node.valid_value(StoredKind::Progress, &item, decoded)
                 .map(Some)
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -358,7 +358,7 @@
                     items.map(ItemBody::into_item).collect(),
                 ))
             }
-            StatusCode::NOT_FOUND => Ok(CommitResult::LeaseOver),
+            StatusCode::NOT_FOUND => Ok(CommitResult::LeaseExpired),
             other => Err(failure_of(other)),
         }
     }
