--- a/src/cluster/emptying.rs
+++ b/src/cluster/emptying.rs
@@ -195,7 +195,7 @@
             metrics::counter!("fuchsiaslip_emptying_orders_total", "change" => "taken_back")
                 .increment(1);
             events::log(
-                events::EMPTYING_TAKEN_BACK,
+                events::EMPTYING_WITHDRAWN,
                 format_args!("{data_centre}, revision {revision}, taken back {within}"),
             );
         }
--- a/src/cluster/log_lines.rs
+++ b/src/cluster/log_lines.rs
@@ -195,7 +195,7 @@
 /// Logs an invalid stored value.
 pub fn invalid_value(line: &InvalidValueLine<'_>) {
     emit(
-        crate::events::RECORD_UNREADABLE,
+        crate::events::VALUE_INVALID,
         json!({
             "key": line.key, "revision": line.revision, "kind": line.kind,
             "reason": line.reason, "problem": line.problem, "done": line.done,
@@ -288,7 +288,7 @@
             max_attempts,
             configuration_version,
         } => (
-            events::JOB_OPENED,
+            events::JOB_READY,
             "job_opened",
             "due",
             json!({ "job": job.to_string(), "occurrence": occurrence, "queue": record.queue,
@@ -328,7 +328,7 @@
         } => {
             metrics::histogram!("fuchsiaslip_recovery_ms").record(*waited_ms as f64);
             (
-                events::RECOVERY_OVER,
+                events::RECOVERY_FINISHED,
                 "recovery_over",
                 match unresponsive.is_empty() {
                     true => "all_answered",
@@ -363,13 +363,13 @@
             reason,
             runs,
         } => (
-            events::ENTRY_UNUSABLE,
+            events::ENTRY_INVALID,
             "entry_unusable",
             *reason,
             json!({ "worker": &**worker, "runs": runs }),
         ),
         Decision::EntryValid { worker, runs } => (
-            events::ENTRY_USABLE,
+            events::ENTRY_VALID,
             "entry_usable",
             "readable",
             json!({ "worker": &**worker, "runs": runs }),
@@ -403,7 +403,7 @@
             workers,
             runs,
         } => (
-            events::DATA_CENTRE_BACK,
+            events::DATA_CENTRE_RESTORED,
             "data_centre_back",
             "taken_back",
             json!({ "data_centre": &**data_centre, "revision": revision, "workers": workers,
@@ -413,13 +413,13 @@
             data_centre,
             after_ms,
         } => (
-            events::DATA_CENTRE_USED,
+            events::FIRST_START_AFTER_EMPTYING,
             "data_centre_used",
             "taken_back",
             json!({ "data_centre": &**data_centre, "after_ms": after_ms }),
         ),
         Decision::OrdersStale { known_ago_ms } => (
-            events::ORDERS_UNREAD,
+            events::ORDERS_STALE,
             "orders_unread",
             "store_silent",
             json!({ "known_ago_ms": known_ago_ms }),
@@ -460,14 +460,14 @@
             crashes_at_start,
             reason,
         } => (
-            events::TASK_CRASHES,
+            events::TASK_CRASHES_WORKERS,
             "task_given_up",
             *reason,
             json!({ "task": name.task.to_string(), "run": name.run,
                 "crashes": crashes, "crashes_at_start": crashes_at_start }),
         ),
         Decision::EntriesStale { known_ago_ms } => (
-            events::ENTRIES_UNREAD,
+            events::ENTRIES_STALE,
             "entries_unread",
             "store_silent",
             json!({ "known_ago_ms": known_ago_ms }),
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -305,7 +305,10 @@
     fn handle_signal(&self) {
         if self.status.is_draining() {
             let requests = self.status.requests();
-            return events::log(events::DRAIN_HURRIED, format_args!("{requests} requests"));
+            return events::log(
+                events::DRAIN_SIGNAL_REPEATED,
+                format_args!("{requests} requests"),
+            );
         }
         self.drain();
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -38,7 +38,7 @@
     /// The daemon has drained.
     DRAIN_FINISHED = 102, Info, "everything is handed over; the process ends", "none";
     /// A second signal during the drain.
-    DRAIN_HURRIED = 103, Warn, "a second signal arrived while requests were in progress", "wait, or accept that the callers of these requests will see a closed connection";
+    DRAIN_SIGNAL_REPEATED = 103, Warn, "a second signal arrived while requests were in progress", "wait, or accept that the callers of these requests will see a closed connection";
     /// The settings file was read again.
     SETTINGS_RELOADED = 104, Info, "the settings file was read again", "restart the daemon if the line says that changes need a restart";
     /// The settings file is invalid.
@@ -56,9 +56,9 @@
     /// A ledger value cannot be read.
     LEDGER_DAMAGED = 204, Error, "a ledger value cannot be read; no owner starts", "run `fuchsiaslip ledger check` and restore the value named there";
     /// A stored value is invalid.
-    RECORD_UNREADABLE = 205, Warn, "a value in the store is invalid, and the line says how it is handled; the other values remain in use", "check the key named: another writer or another version wrote it; docs/OPERATIONS.md says what each kind of value needs";
+    VALUE_INVALID = 205, Warn, "a value in the store is invalid, and the line says how it is handled; the other values remain in use", "check the key named: another writer or another version wrote it; docs/OPERATIONS.md says what each kind of value needs";
     /// A new owner has found out what runs.
-    RECOVERY_OVER = 206, Info, "this owner knows which runs earlier owners started; stored work starts", "if it waited for seconds, check the workers that did not answer";
+    RECOVERY_FINISHED = 206, Info, "this owner knows which runs earlier owners started; stored work starts", "if it waited for seconds, check the workers that did not answer";
     /// A daemon took the next epoch but could not start as owner.
     TAKEOVER_INCOMPLETE = 207, Warn, "this daemon took the next epoch but could not start as owner; unless another daemon takes over first, it retries after the timeout for an unresponsive owner", "check the key-value service and the network between it and this daemon's VM";
     /// The store answers again.
@@ -68,7 +68,7 @@
     /// A worker was lost.
     WORKER_LOST = 300, Warn, "a worker's lease has expired without contact; its gangs are ended", "replace the worker";
     /// A worker answers again.
-    WORKER_BACK = 301, Info, "a lost worker answers again", "none";
+    WORKER_RETURNED = 301, Info, "a lost worker answers again", "none";
     /// A worker is leaving.
     WORKER_LEAVING = 302, Info, "a worker is leaving and receives no new work", "none";
     /// A worker was quarantined.
@@ -88,35 +88,35 @@
     /// A guarantee cannot be met.
     GUARANTEE_SHORT = 310, Error, "the shapes guaranteed to an account cannot all be reclaimed now", "add workers or lower a guarantee";
     /// The entry of a known worker is invalid.
-    ENTRY_UNUSABLE = 311, Warn, "the entry of a known worker is invalid; the worker gets no new work, its runs go on", "find the E205 of the entry's key and who writes it besides the worker";
+    ENTRY_INVALID = 311, Warn, "the entry of a known worker is invalid; the worker gets no new work, its runs go on", "find the E205 of the entry's key and who writes it besides the worker";
     /// The entry is valid again.
-    ENTRY_USABLE = 312, Info, "the entry of a worker is valid again", "none";
+    ENTRY_VALID = 312, Info, "the entry of a worker is valid again", "none";
     /// A crash of a worker counts against a run.
     CRASH_COUNTED = 313, Info, "a worker crashed while it had a run; at_start means that it did not respond after the start", "none, unless one task is named repeatedly: then E324 follows";
     /// The workers' entries are stale.
-    ENTRIES_UNREAD = 314, Warn, "the workers' entries could not be read for too long; until they are read, workers that do not check their own capacity get nothing new", "check the key-value service and the network between it and the owner";
+    ENTRIES_STALE = 314, Warn, "the workers' entries could not be read for too long; until they are read, workers that do not check their own capacity get nothing new", "check the key-value service and the network between it and the owner";
     /// Another incarnation of a worker answers under the worker's name.
     WORKER_RESTARTED = 315, Info, "a worker restarted under the same name; its earlier runs have ended", "none, unless one worker is named repeatedly";
     /// A job cannot run anywhere.
-    JOB_UNABLE = 320, Warn, "a job failed on several healthy workers and is given up", "inform the account";
+    JOB_UNABLE_TO_RUN = 320, Warn, "a job failed on several healthy workers and is given up", "inform the account";
     /// A job ended.
     JOB_ENDED = 321, Info, "a job ended", "none";
     /// The tasks of a job may start.
-    JOB_OPENED = 322, Info, "the tasks of a job may start from now on", "none";
+    JOB_READY = 322, Info, "the tasks of a job may start from now on", "none";
     /// The queue of a job is unknown.
     TERMS_UNKNOWN = 323, Info, "a job waits because this owner knows neither its queue nor the terms under which it was accepted", "declare the queue again, and find out why the owner has no newer configuration";
     /// A task crashes its workers.
-    TASK_CRASHES = 324, Warn, "a task crashes the workers that start it and is given up; its job fails", "inform the account; the E313 lines of the task name the workers";
+    TASK_CRASHES_WORKERS = 324, Warn, "a task crashes the workers that start it and is given up; its job fails", "inform the account; the E313 lines of the task name the workers";
     /// The upkeep of a machine was ordered.
     UPKEEP_ORDERED = 330, Info, "the upkeep of a machine was ordered, with the outcome named", "none, unless it repeats: then check the platform's interface for machines";
     /// A data centre gets no new tasks.
     DATA_CENTRE_EMPTIED = 331, Warn, "an operators' order is in force: a data centre gets no new tasks, and its runs end by themselves", "withdraw the order when the work there has ended, or sooner if the reason is guarantees_short or nothing_left";
     /// An order to empty a data centre was withdrawn.
-    DATA_CENTRE_BACK = 332, Warn, "the operators withdrew the order: the data centre gets tasks again", "none";
+    DATA_CENTRE_RESTORED = 332, Warn, "the operators withdrew the order: the data centre gets tasks again", "none";
     /// The first task started in the data centre after the order was withdrawn.
-    DATA_CENTRE_USED = 333, Warn, "a data centre got its first task after the order to empty it was withdrawn", "none";
+    FIRST_START_AFTER_EMPTYING = 333, Warn, "a data centre got its first task after the order to empty it was withdrawn", "none";
     /// The operators' orders are stale.
-    ORDERS_UNREAD = 334, Warn, "the operators' orders could not be read for too long; nothing new starts until they are read", "check the key-value service and the network between it and the owner";
+    ORDERS_STALE = 334, Warn, "the operators' orders could not be read for too long; nothing new starts until they are read", "check the key-value service and the network between it and the owner";
     /// A configuration patch was accepted.
     PATCH_ACCEPTED = 400, Info, "a configuration patch was accepted", "none";
     /// A configuration patch was refused.
@@ -128,7 +128,7 @@
     /// This daemon learned of an order to empty a data centre.
     EMPTYING_ORDERED = 404, Warn, "this daemon has learned of the operators' order that a data centre gets no new tasks", "none; the owner's E331 reports what the order affects";
     /// This daemon learned that such an order was withdrawn.
-    EMPTYING_TAKEN_BACK = 405, Warn, "this daemon has learned that the operators withdrew an order to empty a data centre", "none; the owner's E332 follows";
+    EMPTYING_WITHDRAWN = 405, Warn, "this daemon has learned that the operators withdrew an order to empty a data centre", "none; the owner's E332 follows";
     /// A peer was refused.
     PEER_REFUSED = 500, Warn, "a connection from a peer was refused", "check peer_token in both settings files";
     /// A peer sent a malformed frame.
--- a/src/owner/effects.rs
+++ b/src/owner/effects.rs
@@ -140,7 +140,7 @@
     pub(super) fn job_ended(&mut self, job: JobId, code: OutcomeCode) {
         metrics::counter!("fuchsiaslip_ended_total", "outcome" => code.name()).increment(1);
         if code == OutcomeCode::UnableToRun {
-            events::log(events::JOB_UNABLE, format_args!("job {job}"));
+            events::log(events::JOB_UNABLE_TO_RUN, format_args!("job {job}"));
         }
         let Phase::Owning(owning) = &mut self.phase else {
             return;
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -154,7 +154,7 @@
             None => self.apply(Command::Reinspect(worker.to_owned())),
         }
         if self.health_of(worker) == Some(WorkerHealth::Lost) {
-            events::log(events::WORKER_BACK, format_args!("{worker}"));
+            events::log(events::WORKER_RETURNED, format_args!("{worker}"));
             self.apply(Command::WorkerReturned(worker.to_owned()));
         }
         if !leaving {
