--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -172,10 +172,10 @@
         let starts = |later: bool| {
             let records = world.records.iter();
             let matching = records.filter(move |record| (record.epoch > epoch) == later);
-            matching.map(|record| record.began)
+            matching.map(|record| record.started)
         };
         let first = starts(true).min()?;
-        let last = starts(false).filter(|began| *began < first).max()?;
+        let last = starts(false).filter(|started| *started < first).max()?;
         Some(first.duration_since(last))
     }
 }
--- a/tests/cancelled.rs
+++ b/tests/cancelled.rs
@@ -27,7 +27,7 @@
 /// job, and the runs of the start orders that were sent to the worker.
 fn started_on_an_unresponsive_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
     let mut fleet = Fleet::with_workers(1);
-    fleet.silent = vec!["w0".to_owned()];
+    fleet.unresponsive = vec!["w0".to_owned()];
     let job = fleet.submit(1, record);
     fleet.advance(50);
     let sent = fleet.starts.iter().map(|start| start.0).collect();
@@ -39,14 +39,14 @@
 fn cancelled_on_an_unresponsive_worker(record: JobRecord) -> (Fleet, JobId, Vec<RunName>) {
     const GIVEN_UP_MS: u64 = 4_000;
     let (mut fleet, job, sent) = started_on_an_unresponsive_worker(record);
-    fleet.tell(Input::JobCancelled(job));
+    fleet.send_input(Input::JobCancelled(job));
     fleet.advance(GIVEN_UP_MS);
     (fleet, job, sent)
 }
 
 /// Lets the worker respond again and carry out the start orders that were sent before.
 fn carry_out_late(fleet: &mut Fleet, sent: &[RunName]) {
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     let worker = fleet.workers.get_mut("w0").expect("no worker w0");
     for &name in sent {
         worker.running.insert(name, 0);
@@ -94,7 +94,7 @@
     let (mut fleet, job, sent) =
         cancelled_on_an_unresponsive_worker(record("plain", vec![step(1, 1)]));
     fleet.advance(UNREACHABLE_MS);
-    assert!(fleet.forgotten.contains(&job), "the job is deleted");
+    assert!(fleet.deleted_jobs.contains(&job), "the job is deleted");
 
     carry_out_late(&mut fleet, &sent);
     fleet.advance(STOPPED_MS);
@@ -111,7 +111,7 @@
     assert_eq!(fleet.running().len(), 2);
 
     let mut next = fleet.next_owner(2, &[(job, record)], true);
-    next.tell(Input::JobCancelled(job));
+    next.send_input(Input::JobCancelled(job));
     next.advance(STOPPED_MS);
 
     assert_eq!(next.running(), []);
@@ -126,7 +126,7 @@
     let (fleet, job, sent) = started_on_an_unresponsive_worker(record.clone());
     let known = [(job, record)];
     let mut next = fleet.next_owner(2, &known, true);
-    next.tell(Input::JobCancelled(job));
+    next.send_input(Input::JobCancelled(job));
     next.advance(2_000);
 
     carry_out_late(&mut next, &sent);
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -50,7 +50,7 @@
     let mut known = configuration(64);
     known.version = 2;
     known.unguarded_services = vec!["s".to_owned()];
-    fleet.tell(Input::Configure(Arc::new(known)));
+    fleet.send_input(Input::Configure(Arc::new(known)));
     fleet.submit(1, record("plain", vec![step(4, 2)]));
     fleet.advance(50);
     assert_eq!(fleet.running().len(), 4);
@@ -68,7 +68,7 @@
 #[test]
 fn nothing_starts_on_a_worker_that_is_over_its_capacity() {
     let mut fleet = full_worker();
-    fleet.tell(with_accelerators("w0", 4));
+    fleet.send_input(with_accelerators("w0", 4));
     fleet.submit(2, record("plain", vec![step(1, 2)]));
     fleet.submit(3, record("plain", vec![step(1, 0)]));
     fleet.advance(100);
@@ -87,7 +87,7 @@
         "with four of four in use only a task without accelerators may start"
     );
 
-    fleet.tell(with_accelerators("w0", 8));
+    fleet.send_input(with_accelerators("w0", 8));
     fleet.advance(50);
     assert_eq!(
         fleet.starts.len(),
@@ -101,7 +101,7 @@
 #[test]
 fn nothing_is_stopped_on_an_overfull_worker_to_free_capacity() {
     let mut fleet = full_worker();
-    fleet.tell(with_accelerators("w0", 4));
+    fleet.send_input(with_accelerators("w0", 4));
     fleet.submit(2, record("urgent", vec![step(1, 2)]));
     fleet.advance(100);
 
@@ -114,7 +114,7 @@
 fn a_start_without_an_answer_is_not_sent_again_to_a_shrunk_worker() {
     let mut fleet = full_worker();
     end_one(&mut fleet);
-    fleet.silent.push("w0".to_owned());
+    fleet.unresponsive.push("w0".to_owned());
     fleet.submit(
         2,
         record(
@@ -128,7 +128,7 @@
     fleet.advance(10);
     let sent = fleet.starts.len();
     let run = fleet.starts[4].0;
-    fleet.tell(with_accelerators("w0", 6));
+    fleet.send_input(with_accelerators("w0", 6));
     fleet.advance(500);
 
     assert_eq!(sent, 5, "the start was not sent once");
@@ -149,7 +149,7 @@
 #[test]
 fn an_owner_with_stale_entries_starts_nothing_on_unguarded_workers() {
     let mut fleet = full_worker();
-    fleet.follows_entries = false;
+    fleet.reports_entries_read = false;
     let silent_ms = fleet.now_ms;
     for id in 2..60 {
         fleet.submit(id, record("plain", vec![step(1, 1)]));
@@ -171,7 +171,7 @@
     );
 
     let before = fleet.starts.len();
-    fleet.follows_entries = true;
+    fleet.reports_entries_read = true;
     fleet.advance(50);
     assert!(
         fleet.starts.len() > before,
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -166,7 +166,7 @@
     let mut daemons = fleet(5, 2, &operator);
     daemons[0].request("POST", &path(1), &job(1, 2_000));
     wait_until("running", || operator.world().records.len() == 1);
-    operator.world().mode = StoreMode::Silent;
+    operator.world().mode = StoreMode::Unresponsive;
     operator.world().fail_runs(0);
     daemons.iter_mut().for_each(Daemon::kill);
     operator.world().withheld_key = Some(CONFIGURATION_KEY);
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -227,12 +227,12 @@
         let [(first_worker, first_member), (second_worker, second_member)] = &running[..] else {
             panic!("expected two running members: {running:?}");
         };
-        fleet.silent.push(second_worker.clone());
+        fleet.unresponsive.push(second_worker.clone());
         fleet.end_run(first_worker, *first_member, EndKind::LeaseExpired);
         fleet.end_run(second_worker, *second_member, EndKind::GangEnded);
         fleet.advance(200);
         fleet.crash(second_worker);
-        fleet.silent.clear();
+        fleet.unresponsive.clear();
     }
 
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
@@ -268,7 +268,7 @@
             fake.running.insert(name, percent);
         }
         fleet.advance(200);
-        fleet.silent.push(worker.clone());
+        fleet.unresponsive.push(worker.clone());
         fleet.advance(500);
         if ends_before_crash {
             fleet.end_run(&worker, name, EndKind::Done);
@@ -276,7 +276,7 @@
         fleet.advance(100);
         fleet.crash(&worker);
         fleet.advance(fleet.down_ms + silent_after_restart_ms);
-        fleet.silent.clear();
+        fleet.unresponsive.clear();
         fleet.advance(500);
     }
     fleet
@@ -499,14 +499,14 @@
         fleet.advance(200);
         let (worker, _) = fleet.running().pop().expect("the task runs");
         if round % 2 == 0 {
-            fleet.tell(Input::WorkerRegistered(leaving_info(&worker, 60_000)));
+            fleet.send_input(Input::WorkerRegistered(leaving_info(&worker, 60_000)));
             fleet.advance(50);
             fleet.crash(&worker);
             fleet.advance(4_000);
         } else {
-            fleet.silent.push(worker.clone());
+            fleet.unresponsive.push(worker.clone());
             fleet.advance(8_000);
-            fleet.silent.clear();
+            fleet.unresponsive.clear();
             fleet
                 .workers
                 .get_mut(&worker)
@@ -563,13 +563,13 @@
 #[test]
 fn an_address_is_not_marked_as_crashed_after_its_worker_left() {
     let mut fleet = Fleet::with_workers(2);
-    fleet.tell(Input::WorkerRegistered(leaving_info("w0", 1_000)));
+    fleet.send_input(Input::WorkerRegistered(leaving_info("w0", 1_000)));
     fleet.advance(100);
     fleet.crash("w0");
     fleet.advance(8_000);
-    fleet.silent.push("w0~2".to_owned());
+    fleet.unresponsive.push("w0~2".to_owned());
     fleet.advance(500);
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     fleet.advance(500);
 
     let workers = fleet.scheduler.workers().iter();
@@ -583,7 +583,7 @@
 fn a_task_waits_until_its_crash_is_stored() {
     let mut fleet = Fleet::with_workers(4);
     let id = submit_crashing(&mut fleet, 1, record("plain", vec![step(1, 1)]));
-    fleet.holds_progress = true;
+    fleet.defers_progress = true;
 
     fleet.advance(6_000);
     let before = starts_of(&fleet, task_of(id, 0));
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -81,7 +81,7 @@
 impl Scenario {
     fn begin(crash_after_ms: u64) -> Self {
         let mut fleet = Fleet::with_workers(WORKERS);
-        fleet.holds_progress = true;
+        fleet.defers_progress = true;
         fleet.crash_after_ms = crash_after_ms;
         Self {
             fleet,
@@ -140,10 +140,10 @@
         let Some(name) = self.worker(which) else {
             return;
         };
-        let silent = &mut self.fleet.silent;
-        match silent.iter().position(|other| *other == name) {
-            Some(at) => drop(silent.remove(at)),
-            None => silent.push(name),
+        let unresponsive = &mut self.fleet.unresponsive;
+        match unresponsive.iter().position(|other| *other == name) {
+            Some(at) => drop(unresponsive.remove(at)),
+            None => unresponsive.push(name),
         }
     }
 
@@ -157,13 +157,13 @@
             .collect();
         self.unrecorded.extend(lost);
         self.epoch += 1;
-        let deleted = &self.fleet.forgotten;
+        let deleted = &self.fleet.deleted_jobs;
         let jobs = self.jobs.iter().filter(|(id, _)| !deleted.contains(id));
         let jobs: Vec<_> = jobs.cloned().collect();
         let mut next = self
             .fleet
             .next_owner(self.epoch, &jobs, earlier_owner_exited);
-        next.holds_progress = true;
+        next.defers_progress = true;
         self.fleet = next;
     }
 
@@ -204,7 +204,7 @@
         let now_ms = self.fleet.now_ms;
         for (worker, name) in self.fleet.running() {
             let started_ms = *self.first_seen_ms.entry(name).or_insert(now_ms);
-            let lease_expired = self.fleet.workers[&worker].has_lapsed(now_ms);
+            let lease_expired = self.fleet.workers[&worker].has_expired_lease(now_ms);
             if lease_expired {
                 self.fleet.end_run(&worker, name, EndKind::LeaseExpired);
             } else if now_ms >= started_ms + RUN_MS && self.can_end(name) {
@@ -293,7 +293,7 @@
 
     /// Ends all faults, and checks that every job then reaches its final state.
     fn recover_and_finish(&mut self) {
-        self.fleet.silent.clear();
+        self.fleet.unresponsive.clear();
         self.advance_checked(RECOVERY_MS, false);
         for (id, _) in &self.jobs {
             let end = self.ended.get(id);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -137,7 +137,7 @@
                     actual_run_ms: run_ms,
                     idempotent,
                     cancel_at_ms: cancel.map(|after_ms| at_ms + after_ms),
-                    broken: false,
+                    always_fails: false,
                 }
             },
         )
@@ -253,7 +253,7 @@
                 actual_run_ms: 30_000,
                 idempotent: true,
                 cancel_at_ms: None,
-                broken: false,
+                always_fails: false,
             });
         }
         let mix = mix(jobs, HashSet::new());
@@ -360,7 +360,7 @@
         actual_run_ms: run_ms,
         idempotent: true,
         cancel_at_ms: None,
-        broken: false,
+        always_fails: false,
     }
 }
 
@@ -464,7 +464,7 @@
         adjacency: Adjacency::Rack,
     };
     let mut job = standard_job("c", small, 0, 1_000);
-    job.broken = true;
+    job.always_fails = true;
     let mix = mix(vec![job], HashSet::new());
     let mut driver = Driver::new(&mix);
 
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -1,12 +1,16 @@
 //! Tests that an end is acknowledged to its worker only once its effects are stored, and
 //! that every end counts.
 
+#[path = "support/ends_simulation.rs"]
+mod ends_simulation;
 #[expect(dead_code, reason = "other tests use the rest")]
 #[path = "support/fleet.rs"]
 mod fleet;
-#[path = "support/twice.rs"]
-mod twice;
 
+use ends_simulation::{
+    Event,
+    Simulation, //
+};
 use fleet::{
     Fleet,
     gang,
@@ -29,10 +33,6 @@
 };
 use proptest::prelude::*;
 use std::sync::Arc;
-use twice::{
-    Event,
-    Simulation, //
-};
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
@@ -83,7 +83,7 @@
 
 /// Passes a stored job to the scheduler.
 fn send_job(fleet: &mut Fleet, id: JobId, record: &JobRecord) {
-    fleet.tell(Input::JobStored {
+    fleet.send_input(Input::JobStored {
         id,
         record: Arc::new(record.clone()),
         progress: None,
@@ -96,7 +96,7 @@
     let (mut fleet, id, job) = Fleet::with_job(1, record("plain", vec![step(1, 1)]));
     fleet.end_all(id, EndKind::Done);
     let mut next = fleet.next_owner(2, &[], false);
-    next.follows_jobs = false;
+    next.reports_jobs_read = false;
     next.advance(1_000);
     (next, id, job)
 }
@@ -125,7 +125,7 @@
     assert_eq!(fleet.highest_last_seen["w0"], 0, "its job may be stored");
 
     send_job(&mut fleet, id, &job);
-    fleet.follows_jobs = true;
+    fleet.reports_jobs_read = true;
     fleet.advance(100);
 
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
@@ -140,7 +140,7 @@
 fn an_end_of_a_job_that_is_not_stored_is_acknowledged() {
     let (mut fleet, id, _) = end_received_before_its_job();
 
-    fleet.follows_jobs = true;
+    fleet.reports_jobs_read = true;
     fleet.advance(100);
 
     assert_eq!(fleet.highest_last_seen["w0"], 1);
@@ -222,7 +222,7 @@
     };
     let worker = fleet.scheduler.workers()[0].key;
 
-    fleet.tell(Input::PollAnswered {
+    fleet.send_input(Input::PollAnswered {
         worker,
         sent_ms: fleet.now_ms,
         report,
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -75,7 +75,7 @@
 
 /// Tells the scheduler that these data centres, and no others, are to be emptied.
 fn order(fleet: &mut Fleet, data_centres: &[&str]) {
-    fleet.tell(Input::EmptyingOrdersRead {
+    fleet.send_input(Input::EmptyingOrdersRead {
         orders: orders(data_centres),
         checked_ms: fleet.now_ms,
     });
@@ -139,7 +139,7 @@
     // again, the task would begin there seconds after the order. Instead the run is
     // stopped, which the worker remembers, and the task starts elsewhere.
     let mut fleet = two_data_centres(1);
-    fleet.silent = vec!["a0".to_owned(), "b0".to_owned()];
+    fleet.unresponsive = vec!["a0".to_owned(), "b0".to_owned()];
     let job = fleet.submit(1, record("plain", vec![step(16, 1)]));
     fleet.settle();
     assert!(
@@ -149,12 +149,12 @@
 
     order(&mut fleet, &["a"]);
     let from_ms = fleet.now_ms + 1;
-    fleet.silent = vec!["a0".to_owned()];
+    fleet.unresponsive = vec!["a0".to_owned()];
     fleet.advance(1_000);
     assert_eq!(starts_in(&fleet, "a", from_ms), 0);
     assert!(fleet.stops.iter().any(|(_, worker)| worker == "a0"));
 
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     for _ in 0..4 {
         fleet.advance(600);
         fleet.end_all(job, EndKind::Done);
@@ -171,7 +171,7 @@
     let mut fleet = two_data_centres(2);
     let blocker = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
-    fleet.silent = vec!["a0".to_owned(), "a1".to_owned()];
+    fleet.unresponsive = vec!["a0".to_owned(), "a1".to_owned()];
     fleet.submit(2, record("plain", vec![gang(3, 8)]));
     fleet.settle();
     assert!(starts_in(&fleet, "a", 0) > 0, "a member is to start in a");
@@ -180,7 +180,7 @@
     let from_ms = fleet.now_ms + 1;
     fleet.add_worker_in("b2", "rb1", "b");
     fleet.advance(300);
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     fleet.end_all(blocker, EndKind::Done);
     fleet.advance(1_500);
 
@@ -269,16 +269,16 @@
     // The only free rack is in the emptied data centre. A gang that needs one rack
     // gets one outside of it as soon as that is free.
     let mut fleet = two_data_centres(2);
-    let tight = || StepSpec {
+    let same_rack_step = || StepSpec {
         same_rack: true,
         ..gang(2, 8)
     };
     order(&mut fleet, &["a"]);
-    let blocker = fleet.submit(1, record("plain", vec![tight()]));
+    let blocker = fleet.submit(1, record("plain", vec![same_rack_step()]));
     fleet.advance(50);
     assert_eq!(running_in(&fleet, "b"), 2);
 
-    fleet.submit(2, record("plain", vec![tight()]));
+    fleet.submit(2, record("plain", vec![same_rack_step()]));
     fleet.submit(3, record("patient", vec![step(8, 1)]));
     fleet.advance(1_000);
     assert_eq!(running_in(&fleet, "a"), 0);
@@ -531,7 +531,7 @@
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(50);
 
-    fleet.tell(Input::WorkerRegistered(WorkerInfo {
+    fleet.send_input(Input::WorkerRegistered(WorkerInfo {
         data_centre: "b".to_owned(),
         draining: true,
         remaining_ms: Some(0),
@@ -555,7 +555,7 @@
             validity_ms: 10_000,
         });
     }
-    fleet.tell(Input::Configure(Arc::new(with_advice)));
+    fleet.send_input(Input::Configure(Arc::new(with_advice)));
     order(&mut fleet, &["a"]);
 
     fleet.submit(1, record("plain", vec![step(1, 1)]));
@@ -710,11 +710,11 @@
                     fake.end(name, *kind);
                 }
             }
-            Event::Unresponsive(at) => self.fleet.silent.push(worker_name(*at)),
+            Event::Unresponsive(at) => self.fleet.unresponsive.push(worker_name(*at)),
             Event::Responsive(at) => {
                 let name = worker_name(*at);
                 self.fleet
-                    .silent
+                    .unresponsive
                     .retain(|unresponsive| *unresponsive != name);
             }
             Event::Stops(effective) => self.fleet.stops_take_effect = *effective,
@@ -771,7 +771,7 @@
 
     /// Withdraws all orders, lets everything respond, and checks that every job ends.
     fn settle(&mut self) {
-        self.fleet.silent.clear();
+        self.fleet.unresponsive.clear();
         self.fleet.stops_take_effect = true;
         self.emptied.clear();
         order(&mut self.fleet, &[]);
--- a/tests/evacuation/whole_path.rs
+++ b/tests/evacuation/whole_path.rs
@@ -55,14 +55,14 @@
 fn last_start_in_east(operator: &Operator, from: Instant) -> Option<Duration> {
     let world = operator.world();
     let there = world.records.iter().filter(|run| run.worker < 2);
-    let delays = there.filter_map(|run| run.began.checked_duration_since(from));
+    let delays = there.filter_map(|run| run.started.checked_duration_since(from));
     delays.max()
 }
 
 fn starts_in_west(operator: &Operator, from: Instant) -> usize {
     let world = operator.world();
     let there = world.records.iter().filter(|run| run.worker >= 2);
-    there.filter(|run| run.began >= from).count()
+    there.filter(|run| run.started >= from).count()
 }
 
 #[test]
@@ -78,7 +78,7 @@
 
     operator
         .world()
-        .empty("east", b"\xff\x00 no order that reads");
+        .order_emptying("east", b"\xff\x00 no order that reads");
     let ordered = Instant::now();
     std::thread::sleep(Duration::from_millis(1_200));
     operator.world().drop_history();
@@ -99,7 +99,7 @@
         "{last_start:?}"
     );
 
-    operator.world().give_back("east");
+    operator.world().withdraw_emptying("east");
     let given_back = Instant::now();
     wait_until("east is used again", || {
         last_start_in_east(&operator, given_back).is_some()
@@ -121,8 +121,8 @@
         operator.world().records.iter().any(|run| run.worker < 2)
     });
 
-    operator.world().mode = StoreMode::Silent;
-    operator.world().empty("east", b"{}");
+    operator.world().mode = StoreMode::Unresponsive;
+    operator.world().order_emptying("east", b"{}");
     let ordered = Instant::now();
     std::thread::sleep(ORDER_BOUND + Duration::from_millis(1_500));
     let last_start = last_start_in_east(&operator, ordered);
@@ -147,16 +147,16 @@
         last_start.is_some_and(|after| after < ORDER_BOUND),
         "{last_start:?}"
     );
-    operator.world().give_back("east");
+    operator.world().withdraw_emptying("east");
     wait_until("the job is completed", || completed(&daemons[0], 1));
 }
 
 #[test]
 fn jobs_are_accepted_and_wait_while_everything_is_emptied() {
     let (operator, daemons) = two_data_centres(212, 1);
-    operator.world().empty("east", b"{}");
-    operator.world().empty("west", b"{}");
-    operator.world().empty("nowhere", b"{}");
+    operator.world().order_emptying("east", b"{}");
+    operator.world().order_emptying("west", b"{}");
+    operator.world().order_emptying("nowhere", b"{}");
     std::thread::sleep(START_BOUND);
 
     submit(&daemons[0], 1, 4, 50);
@@ -168,7 +168,7 @@
     );
     assert!(operator.world().records.is_empty());
 
-    operator.world().give_back("west");
+    operator.world().withdraw_emptying("west");
     wait_until("the job is completed", || completed(&daemons[0], 1));
     assert!(operator.world().records.iter().all(|run| run.worker >= 2));
 }
@@ -197,7 +197,7 @@
 #[test]
 fn the_fleet_command_shows_an_order_and_its_age_after_a_change_of_owner() {
     let (operator, mut daemons) = two_data_centres(213, 2);
-    operator.world().empty("east", b"{}");
+    operator.world().order_emptying("east", b"{}");
     let ordered = Instant::now();
     submit(&daemons[0], 1, 1, 60_000);
     wait_until("an owner knows the order", || {
@@ -219,7 +219,7 @@
         "the age includes the time before the takeover: {age_ms:?} of {longest:?}"
     );
 
-    operator.world().give_back("east");
+    operator.world().withdraw_emptying("east");
     wait_until("the record of the emptied data centre is deleted", || {
         operator.world().keys("emptied/").is_empty()
     });
--- a/tests/foreign/drawn.rs
+++ b/tests/foreign/drawn.rs
@@ -333,20 +333,22 @@
     fn apply(&mut self, step: Step) {
         match step {
             Step::Write(at, entry) => {
-                self.fleet.tell(input_from_entry(at, &entry));
+                self.fleet.send_input(input_from_entry(at, &entry));
                 self.entries[at] = Some(entry);
             }
-            Step::WriteStray(bytes) => self.fleet.tell(input_from_bytes("stray name", &bytes)),
+            Step::WriteStray(bytes) => self
+                .fleet
+                .send_input(input_from_bytes("stray name", &bytes)),
             Step::Unlist(at) => {
                 self.entries[at] = None;
-                self.fleet.tell(Input::WorkerUnlisted(name(at)));
+                self.fleet.send_input(Input::WorkerUnlisted(name(at)));
             }
             Step::Submit { tasks, gang } => self.submit(tasks, gang),
             Step::End(at, kind) => self.end_one(at, kind),
             Step::StopAnswering(at) => {
-                self.fleet.silent.push(name(at));
+                self.fleet.unresponsive.push(name(at));
                 self.advance(2_000);
-                self.fleet.silent.clear();
+                self.fleet.unresponsive.clear();
             }
             Step::NewOwner {
                 unreadable,
@@ -414,29 +416,29 @@
             }
         }
         let (entries, unreadable) = (&self.entries, &self.unreadable);
-        let mut next = before.next_owner_told(self.epoch, false, |next| {
+        let mut next = before.next_owner_with_inputs(self.epoch, false, |next| {
             if !roster_readable {
-                next.tell(Input::RosterUnreadable);
+                next.send_input(Input::RosterUnreadable);
             }
             for (at, entry) in entries.iter().enumerate() {
                 if roster_readable {
-                    next.tell(Input::RosterWorker {
+                    next.send_input(Input::RosterWorker {
                         worker_name: name(at),
                         address: address_of(&name(at)),
                         closed_runs: before.closed.get(&name(at)).cloned().flatten(),
                     });
                 } else if let Some(Some(runs)) = before.closed.get(&name(at)) {
-                    next.tell(Input::ClosedWorker {
+                    next.send_input(Input::ClosedWorker {
                         worker_name: name(at),
                         runs: runs.clone(),
                     });
                 }
                 if let Some(entry) = entry {
-                    next.tell(input_from_entry(at, entry));
+                    next.send_input(input_from_entry(at, entry));
                 }
             }
             for (id, record) in jobs {
-                next.tell(match unreadable.contains(id) {
+                next.send_input(match unreadable.contains(id) {
                     true => Input::JobUnreadable(*id),
                     false => Input::JobStored {
                         id: *id,
@@ -455,7 +457,7 @@
             let (_, record) = self.jobs.iter().find(|(own, _)| *own == id).expect("a job");
             let stored = self.fleet.stored.get(&id);
             let progress = stored.map(|(_, progress)| progress.clone());
-            self.fleet.tell(Input::JobReadable {
+            self.fleet.send_input(Input::JobReadable {
                 id,
                 record: Arc::new(record.clone()),
                 progress,
@@ -474,7 +476,7 @@
                 for percent in worker.running.values_mut() {
                     *percent = (*percent + 1) % 90;
                 }
-                if worker.lease_end_ms > 0 && worker.has_lapsed(self.fleet.now_ms) {
+                if worker.lease_end_ms > 0 && worker.has_expired_lease(self.fleet.now_ms) {
                     let names: Vec<RunName> = worker.running.keys().copied().collect();
                     for name in names {
                         worker.end(name, EndKind::LeaseExpired);
@@ -518,7 +520,7 @@
         self.repair_jobs();
         for at in 0..WORKERS {
             self.entries[at] = Some(Entry::Good);
-            self.fleet.tell(input_from_entry(at, &Entry::Good));
+            self.fleet.send_input(input_from_entry(at, &Entry::Good));
         }
         let mut left = Vec::new();
         for _ in 0..ROUNDS {
--- a/tests/foreign/path.rs
+++ b/tests/foreign/path.rs
@@ -360,7 +360,7 @@
     let began = Instant::now();
     daemons[0].kill();
     let key = operator.world().worker_key(worker);
-    operator.world().take_away(&key);
+    operator.world().remove_value(&key);
     operator.world().put("roster", &json!({ "rows": 9 }));
     daemons[0].start();
     wait_until("the daemon owns again", || {
@@ -387,7 +387,7 @@
     assert_eq!(first.task, second.task);
     let (ended, how) = first.ended.expect("it ended");
     assert_eq!(how, "lapsed");
-    assert!(ended <= second.began, "the task ran twice at a time");
+    assert!(ended <= second.started, "the task ran twice at a time");
     drop(world);
     wait_until("the roster is rewritten", || {
         let roster = operator.world().value("roster");
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -66,7 +66,7 @@
 fn a_worker_whose_entry_becomes_unreadable_keeps_its_runs_and_gets_no_new_ones() {
     let (mut fleet, first, worker, run) = with_one_run();
 
-    fleet.tell(invalid_entry(&worker));
+    fleet.send_input(invalid_entry(&worker));
     fleet.submit(2, record("plain", vec![step(8, 1)]));
     fleet.submit(3, record("plain", vec![step(4, 1)]));
     work_for(&mut fleet, LEASES_EXPIRED_MS);
@@ -76,14 +76,14 @@
         fleet.running().contains(&(worker.clone(), run)),
         "it goes on"
     );
-    let expired = fleet.workers[&worker].has_lapsed(fleet.now_ms);
+    let expired = fleet.workers[&worker].has_expired_lease(fleet.now_ms);
     assert!(!expired, "its lease is renewed");
     fleet.end_all(first, EndKind::Done);
     fleet.advance(500);
     let completed = fleet.scheduler.job_status(first);
     assert_eq!(completed, Some(JobStatus::Completed), "its end is received");
     assert_eq!(fleet.highest_last_seen[&worker], 1, "and acknowledged");
-    fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
+    fleet.send_input(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.advance(500);
     assert_eq!(starts_on(&fleet, &worker), 5, "it serves again");
 }
@@ -94,7 +94,7 @@
     let workers = fleet.scheduler.workers().len();
 
     for at in 0..1_000 {
-        fleet.tell(invalid_entry(&format!("nobody-{at}")));
+        fleet.send_input(invalid_entry(&format!("nobody-{at}")));
     }
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
@@ -111,7 +111,7 @@
     let spec = record("plain", vec![step(1, 1)]);
 
     let mut next = fleet.next_owner(2, &[(job, spec)], false);
-    next.tell(invalid_entry(&worker));
+    next.send_input(invalid_entry(&worker));
     work_for(&mut next, LEASES_EXPIRED_MS);
 
     assert_eq!(next.running(), [(worker.clone(), run)], "it goes on, once");
@@ -131,7 +131,7 @@
         ..worker_info("w0", "r1")
     };
 
-    fleet.tell(Input::WorkerRegistered(other));
+    fleet.send_input(Input::WorkerRegistered(other));
     fleet.submit(2, record("plain", vec![step(1, 1)]));
     work_for(&mut fleet, 5_000);
 
@@ -166,7 +166,7 @@
         ..worker_info(&worker, "r1")
     };
 
-    fleet.tell(Input::WorkerRegistered(overwritten));
+    fleet.send_input(Input::WorkerRegistered(overwritten));
     fleet.submit(2, record("plain", vec![step(2, 1)]));
     work_for(&mut fleet, LEASES_EXPIRED_MS);
 
@@ -179,7 +179,7 @@
     assert!(fleet.running().contains(&(worker.clone(), run)));
 
     // The worker does not respond now, and another one answers at the new address.
-    fleet.silent.push(worker.clone());
+    fleet.unresponsive.push(worker.clone());
     work_for(&mut fleet, 1_500);
     let tried = fleet.actions.iter().any(|action| {
         matches!(action, Action::Poll { callee, .. }
@@ -192,8 +192,8 @@
         .filter(|(name, ..)| name.task.job == job);
     assert_eq!(job_starts.count(), 1, "its lease has not expired");
 
-    fleet.silent.clear();
-    fleet.tell(Input::WorkerRegistered(worker_info(&worker, "r1")));
+    fleet.unresponsive.clear();
+    fleet.send_input(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.end_all(JobId(2), EndKind::Done);
     fleet.advance(1_500);
     fleet.submit(3, record("plain", vec![step(16, 1)]));
@@ -210,16 +210,16 @@
 fn a_worker_that_answers_does_not_end_one_whose_entry_claims_its_address() {
     let (mut fleet, job, worker, _) = with_one_run();
     let other = if worker == "w0" { "w1" } else { "w0" };
-    fleet.tell(Input::WorkerRegistered(WorkerInfo {
+    fleet.send_input(Input::WorkerRegistered(WorkerInfo {
         address: address_of(other),
         ..worker_info(&worker, "r1")
     }));
-    fleet.silent.push(worker.clone());
+    fleet.unresponsive.push(worker.clone());
 
     for _ in 0..15 {
-        fleet.silent.push(other.to_owned());
+        fleet.unresponsive.push(other.to_owned());
         fleet.advance(60);
-        fleet.silent.retain(|silent| silent != other);
+        fleet.unresponsive.retain(|name| name != other);
         fleet.advance(300);
     }
 
@@ -234,7 +234,7 @@
 fn next_owner_with_unreadable_progress() -> (Fleet, JobId, String, RunName) {
     let (fleet, job, worker, run) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
-    next.tell(Input::JobUnreadable(job));
+    next.send_input(Input::JobUnreadable(job));
     next.advance(500);
     (next, job, worker, run)
 }
@@ -260,7 +260,7 @@
     assert_eq!(next.highest_last_seen[&worker], 0, "its end is not lost");
     assert_eq!(next.starts, []);
 
-    next.tell(Input::JobReadable {
+    next.send_input(Input::JobReadable {
         id: job,
         record: Arc::new(spec),
         progress: None,
@@ -279,7 +279,7 @@
 fn a_run_of_a_job_that_becomes_readable_is_adopted() {
     let (mut next, job, worker, run) = next_owner_with_unreadable_progress();
 
-    next.tell(Input::JobReadable {
+    next.send_input(Input::JobReadable {
         id: job,
         record: Arc::new(record("plain", vec![step(1, 1)])),
         progress: None,
@@ -298,11 +298,11 @@
 fn a_job_that_becomes_readable_waits_for_workers_that_did_not_respond() {
     let (fleet, job, worker, _) = with_one_run();
     let mut next = fleet.next_owner(2, &[], false);
-    next.silent.push(worker);
-    next.tell(Input::JobUnreadable(job));
+    next.unresponsive.push(worker);
+    next.send_input(Input::JobUnreadable(job));
     work_for(&mut next, 3_000);
 
-    next.tell(Input::JobReadable {
+    next.send_input(Input::JobReadable {
         id: job,
         record: Arc::new(record("plain", vec![step(1, 1)])),
         progress: None,
@@ -320,7 +320,7 @@
 fn a_job_with_unreadable_progress_can_be_cancelled() {
     let (mut next, job, worker, run) = next_owner_with_unreadable_progress();
 
-    next.tell(Input::JobCancelled(job));
+    next.send_input(Input::JobCancelled(job));
     next.advance(1_000);
 
     assert_eq!(next.stops, [(run, worker.clone())]);
@@ -349,20 +349,20 @@
 #[test]
 fn a_closed_worker_is_opened_in_the_store_before_it_gets_work() {
     let fleet = Fleet::with_workers(1);
-    let mut next = fleet.next_owner_told(2, true, |next| {
+    let mut next = fleet.next_owner_with_inputs(2, true, |next| {
         next.store_answers = false;
-        next.tell(Input::RosterUnreadable);
-        next.tell(Input::ClosedWorker {
+        next.send_input(Input::RosterUnreadable);
+        next.send_input(Input::ClosedWorker {
             worker_name: "w0".to_owned(),
             runs: Vec::new().into(),
         });
-        next.tell(Input::WorkerRegistered(worker_info("w0", "r1")));
+        next.send_input(Input::WorkerRegistered(worker_info("w0", "r1")));
     });
 
     next.submit(1, record("plain", vec![step(1, 1)]));
     next.advance(2_000);
     assert_eq!(next.starts, [], "the store still has the worker as closed");
-    next.tell(Input::ClosedWorkerStored {
+    next.send_input(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
         closed: false,
     });
@@ -378,10 +378,10 @@
     let (fleet, job, worker, _) = with_one_run();
     let spec = record("plain", vec![step(1, 1)]);
     let other = if worker == "w0" { "w1" } else { "w0" };
-    let mut next = fleet.next_owner_told(2, false, |next| {
-        next.tell(Input::RosterUnreadable);
-        next.tell(Input::WorkerRegistered(worker_info(other, "r1")));
-        next.tell(Input::JobStored {
+    let mut next = fleet.next_owner_with_inputs(2, false, |next| {
+        next.send_input(Input::RosterUnreadable);
+        next.send_input(Input::WorkerRegistered(worker_info(other, "r1")));
+        next.send_input(Input::JobStored {
             id: job,
             record: Arc::new(spec.clone()),
             progress: None,
--- a/tests/owner_cut_off.rs
+++ b/tests/owner_cut_off.rs
@@ -92,7 +92,7 @@
     }
 
     fn submit(&self, job: u64, body: &Value) {
-        self.operator.world().note_job(job, body);
+        self.operator.world().record_job(job, body);
         let answer = self.daemons[0].request("POST", &path(job), &body.to_string());
         assert!(matches!(answer, Answer::Status(200, _)), "{answer:?}");
     }
@@ -131,7 +131,7 @@
     fleet.submit(JOB, &gang(2));
     wait_until("both members run", || fleet.records().len() == 2);
     let (owner, epoch) = (fleet.owner(), fleet.epoch());
-    let last_start = fleet.records().iter().map(|run| run.began).max().unwrap();
+    let last_start = fleet.records().iter().map(|run| run.started).max().unwrap();
     let until_cut =
         (last_start + RUN_TIME - CUT_BEFORE_END).saturating_duration_since(Instant::now());
     std::thread::sleep(until_cut);
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -10,7 +10,7 @@
     gang,
     record,
     step,
-    wait_of_a_tight_gang, //
+    wait_of_a_same_rack_gang, //
 };
 use fuchsiaslip::core::JobId;
 use fuchsiaslip::scheduler::{
@@ -57,7 +57,7 @@
     };
     let mut fleet = Fleet::with_tuning(1, tuning);
 
-    let waited_ms = wait_of_a_tight_gang(&mut fleet);
+    let waited_ms = wait_of_a_same_rack_gang(&mut fleet);
 
     assert!(waited_ms < RECLAIM_MS, "began after {waited_ms} ms");
 }
@@ -75,7 +75,7 @@
     let stopping = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     fleet.stops_take_effect = false;
-    fleet.tell(Input::JobCancelled(stopping));
+    fleet.send_input(Input::JobCancelled(stopping));
     fleet.advance(20);
     fleet.submit(2, record("plain", vec![gang(2, 8)]));
     fleet.advance(20);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -65,7 +65,7 @@
     let (worker, run) = fleet.running()[0].clone();
     let other = if worker == "w0" { "w1" } else { "w0" };
     fleet.closed.insert(worker.clone(), Some(vec![run].into()));
-    fleet.silent.push(worker);
+    fleet.unresponsive.push(worker);
     let newer = RunName {
         run: run.run + 1,
         ..run
@@ -110,10 +110,10 @@
     assert_ne!(later, fleet.starts[0].1);
     let earlier = fleet.starts[0].1.clone();
 
-    fleet.silent.push(earlier);
+    fleet.unresponsive.push(earlier);
     let mut next = fleet.next_owner(2, &[(id, job)], true);
     next.advance(100);
-    next.silent.clear();
+    next.unresponsive.clear();
     next.advance(1_000);
 
     assert!(next.starts.is_empty(), "a third attempt was started");
@@ -139,7 +139,7 @@
 fn tasks_that_may_run_on_unreachable_workers_wait_for_the_longest_lease() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let worker = fleet.running()[0].0.clone();
-    fleet.silent.push(worker);
+    fleet.unresponsive.push(worker);
 
     let mut next = fleet.next_owner(2, &[(id, job.clone())], false);
     next.advance(12_900);
@@ -169,16 +169,16 @@
     let (first, second) = (fleet.running()[0].clone(), fleet.running()[1].clone());
 
     let mut next = fleet.next_owner(2, &[(id, non_urgent)], true);
-    next.silent = ["w0", "w1", "w2", "w3"].map(str::to_owned).to_vec();
-    next.silent.retain(|name| *name != first.0);
+    next.unresponsive = ["w0", "w1", "w2", "w3"].map(str::to_owned).to_vec();
+    next.unresponsive.retain(|name| *name != first.0);
     next.advance(150);
     next.stops_take_effect = false;
     next.submit(2, record("urgent", vec![step(1, 8)]));
     next.advance(50);
-    next.silent.retain(|name| *name != second.0);
+    next.unresponsive.retain(|name| *name != second.0);
     next.advance(600);
     next.end_run(&first.0, first.1, EndKind::Stopped);
-    next.silent.clear();
+    next.unresponsive.clear();
     next.advance(600);
     let old_run_is_there = next.running().contains(&second);
     assert!(
@@ -198,8 +198,8 @@
 #[test]
 fn a_worker_that_left_is_removed_from_the_roster() {
     let mut fleet = Fleet::with_workers(2);
-    fleet.silent.push("w1".to_owned());
-    fleet.tell(Input::WorkerUnlisted("w1".to_owned()));
+    fleet.unresponsive.push("w1".to_owned());
+    fleet.send_input(Input::WorkerUnlisted("w1".to_owned()));
     fleet.advance(2_000);
 
     let names: Vec<String> = fleet
@@ -218,7 +218,7 @@
 fn work_unknown_to_the_earlier_owner_starts_at_once() {
     let (mut fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let worker = fleet.running()[0].0.clone();
-    fleet.silent.push(worker);
+    fleet.unresponsive.push(worker);
 
     let mut next = fleet.next_owner(2, &[(id, job.clone())], true);
     next.advance(200);
@@ -238,12 +238,12 @@
     const LATE_MS: u64 = 2_000;
     let fleet = Fleet::with_workers(2);
     let mut next = fleet.next_owner(2, &[], false);
-    next.follows_jobs = false;
-    next.silent.push("w0".to_owned());
+    next.reports_jobs_read = false;
+    next.unresponsive.push("w0".to_owned());
     next.advance(LATE_MS);
 
     next.submit(1, record("plain", vec![step(1, 1)]));
-    next.follows_jobs = true;
+    next.reports_jobs_read = true;
     next.advance(500);
     assert!(
         next.starts.is_empty(),
@@ -277,7 +277,7 @@
         interval_ms: 1_000,
     });
     let mut next = fleet.next_owner(2, &[(JobId(1), timed)], false);
-    next.silent.push("w0".to_owned());
+    next.unresponsive.push("w0".to_owned());
 
     next.advance(DUE_MS + 1_000);
     let starts_while_unreachable = next.starts.len();
@@ -298,7 +298,7 @@
     fleet.settle();
     assert!(fleet.starts.is_empty());
 
-    fleet.tell(Input::EpochConfirmed(fleet.now_ms));
+    fleet.send_input(Input::EpochConfirmed(fleet.now_ms));
     fleet.now_ms += 300;
     fleet.settle();
     assert_eq!(fleet.starts.len(), 1);
@@ -354,7 +354,7 @@
     fleet.advance(500);
     assert_eq!(fleet.starts.len(), 1, "the job was started again");
 
-    fleet.tell(Input::JobDeleted(job));
+    fleet.send_input(Input::JobDeleted(job));
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(500);
     assert_eq!(
@@ -380,7 +380,7 @@
         version
             .queues
             .push(queue(&format!("queue{incarnation}"), 1));
-        fleet.tell(Input::Configure(Arc::new(version)));
+        fleet.send_input(Input::Configure(Arc::new(version)));
         fleet.add_worker(&name, "r1");
         let job = fleet.submit(
             incarnation,
@@ -390,7 +390,7 @@
         fleet.end_all(job, EndKind::Done);
         fleet.advance(INCARNATION_MS / 2);
         fleet.workers.remove(&name);
-        fleet.tell(Input::WorkerUnlisted(name));
+        fleet.send_input(Input::WorkerUnlisted(name));
         let sizes = fleet.scheduler.sizes();
         most = Sizes {
             jobs: most.jobs.max(sizes.jobs),
@@ -424,7 +424,7 @@
     fleet.submit(1, first.1.clone());
     fleet.advance(50);
     let (leaving, run) = fleet.running()[0].clone();
-    fleet.tell(Input::WorkerRegistered(leaving_info(&leaving, 60_000)));
+    fleet.send_input(Input::WorkerRegistered(leaving_info(&leaving, 60_000)));
     fleet.advance(200);
     let closed = fleet.closed[&leaving].as_ref();
     let stored_runs = closed.map(|closed| &closed.runs);
@@ -433,7 +433,7 @@
         Some(&vec![run]),
         "the runs of the closed worker were not stored"
     );
-    fleet.silent.push(leaving.clone());
+    fleet.unresponsive.push(leaving.clone());
     fleet.advance(300);
 
     let second = (JobId(2), record("plain", vec![step(1, 8)]));
@@ -484,12 +484,12 @@
 #[test]
 fn a_closed_worker_gets_work_only_after_it_is_stored_as_open() {
     let mut fleet = Fleet::with_workers(1);
-    fleet.silent.push("w0".to_owned());
+    fleet.unresponsive.push("w0".to_owned());
     fleet.advance(1_500);
     let empty = closed_runs(&fleet, Vec::new());
     assert_eq!(fleet.closed["w0"], Some(empty), "the worker is not closed");
     fleet.submit(1, record("plain", vec![step(1, 1)]));
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     fleet.store_answers = false;
     fleet.advance(1_000);
     assert!(
@@ -497,7 +497,7 @@
         "a start was sent to a worker that is stored as closed"
     );
 
-    fleet.tell(Input::ClosedWorkerStored {
+    fleet.send_input(Input::ClosedWorkerStored {
         worker_name: "w0".to_owned(),
         closed: false,
     });
@@ -540,7 +540,7 @@
         ..worker_info("w0", "r1")
     };
 
-    fleet.tell(Input::WorkerRegistered(info));
+    fleet.send_input(Input::WorkerRegistered(info));
     fleet.advance(100);
 
     let key = fleet.scheduler.workers()[0].key;
@@ -564,7 +564,7 @@
     );
 
     let confirmed_ms = fleet.now_ms;
-    fleet.tell(Input::EpochConfirmed(confirmed_ms));
+    fleet.send_input(Input::EpochConfirmed(confirmed_ms));
     fleet.settle();
     fleet.now_ms += 300;
     fleet.settle();
@@ -611,7 +611,7 @@
     for _ in 0..12 {
         fleet.now_ms += PASS_MS;
         let confirmed_ms = fleet.now_ms - CONFIRMED_BEFORE_MS;
-        fleet.tell(Input::EpochConfirmed(confirmed_ms));
+        fleet.send_input(Input::EpochConfirmed(confirmed_ms));
         fleet.settle();
     }
     assert!(fleet.scheduler.has_authority());
@@ -642,7 +642,7 @@
         fleet
             .closed
             .insert("w1".to_owned(), Some(vec![run(2)].into()));
-        fleet.silent.push("w1".to_owned());
+        fleet.unresponsive.push("w1".to_owned());
 
         let mut next = fleet.next_owner(2, &[(job, spec)], false);
         next.advance(5_000);
@@ -754,7 +754,7 @@
         next.now_ms += 10;
         next.settle();
     }
-    next.silent.push(worker);
+    next.unresponsive.push(worker);
     next.advance(5_000);
 
     assert!(next.starts.is_empty(), "{:?}", next.starts);
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -93,7 +93,7 @@
 #[test]
 fn a_done_end_counts_if_the_entry_is_read_late() {
     let fleet = restarted_after_three_ends(|fleet| {
-        fleet.restart_untold("w0");
+        fleet.restart_without_entry("w0");
         fleet.advance(SETTLED_MS);
         fleet.add_worker("w0", "r1");
     });
@@ -190,10 +190,10 @@
         let worker_name = fleet.starts[0].1.clone();
         fleet.late_start_ms = None;
 
-        fleet.silent.push(worker_name.clone());
-        fleet.restart_untold(&worker_name);
+        fleet.unresponsive.push(worker_name.clone());
+        fleet.restart_without_entry(&worker_name);
         fleet.advance(300);
-        fleet.silent.clear();
+        fleet.unresponsive.clear();
         fleet.advance(2_000);
 
         assert!(fleet.overlaps.is_empty(), "{late_ms}");
@@ -219,13 +219,13 @@
     fleet.advance(300);
     fleet.late_start_ms = None;
     let worker_name = fleet.starts[0].1.clone();
-    fleet.tell(Input::WorkerRegistered(leaving_info(&worker_name, 60_000)));
+    fleet.send_input(Input::WorkerRegistered(leaving_info(&worker_name, 60_000)));
     fleet.advance(1_000);
     let elsewhere = fleet.running();
     assert_eq!(elsewhere.len(), 1, "the task did not start elsewhere");
     assert_ne!(elsewhere[0].0, worker_name);
 
-    fleet.restart_untold(&worker_name);
+    fleet.restart_without_entry(&worker_name);
     fleet.advance(1_500);
 
     assert!(fleet.overlaps.is_empty(), "{:?}", fleet.overlaps);
@@ -237,7 +237,7 @@
 fn a_restarted_worker_gets_work_by_its_own_entry_only() {
     let mut fleet = Fleet::with_workers(1);
 
-    fleet.restart_untold("w0");
+    fleet.restart_without_entry("w0");
     fleet.advance(SETTLED_MS);
     let id = fleet.submit(1, record("plain", vec![step(8, 1)]));
     fleet.advance(2 * SETTLED_MS);
@@ -249,7 +249,7 @@
         accelerators: 2,
         ..worker_info("w0", "r1").capacity
     };
-    fleet.tell(Input::WorkerRegistered(WorkerInfo {
+    fleet.send_input(Input::WorkerRegistered(WorkerInfo {
         incarnation_start_ms: Some(fleet.workers["w0"].incarnation_start_ms),
         capacity: two,
         ..worker_info("w0", "r1")
@@ -268,7 +268,7 @@
     fleet.advance(SETTLED_MS);
     let (worker_name, run) = fleet.running()[0].clone();
 
-    fleet.tell(Input::WorkerRegistered(WorkerInfo {
+    fleet.send_input(Input::WorkerRegistered(WorkerInfo {
         incarnation_start_ms: Some(fleet.now_ms),
         ..worker_info(&worker_name, "r1")
     }));
@@ -363,15 +363,15 @@
     let id = fleet.submit(1, job.clone());
     fleet.advance(SETTLED_MS);
     let (worker_name, _) = fleet.running()[0].clone();
-    fleet.silent.push(worker_name.clone());
+    fleet.unresponsive.push(worker_name.clone());
     fleet.advance(2 * SETTLED_MS);
     assert!(
         fleet.closed[&worker_name].is_some(),
         "the worker is not closed"
     );
 
-    fleet.silent.clear();
-    fleet.restart_untold(&worker_name);
+    fleet.unresponsive.clear();
+    fleet.restart_without_entry(&worker_name);
     let mut next = fleet.next_owner(2, &[(id, job)], true);
     next.advance(2 * SETTLED_MS);
 
@@ -393,7 +393,7 @@
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
 
-    fleet.tell(Input::WorkerRegistered(leaving_info("w0", 2_000)));
+    fleet.send_input(Input::WorkerRegistered(leaving_info("w0", 2_000)));
     fleet.advance(SETTLED_MS);
     fleet.restart("w0");
     fleet.advance(2 * SETTLED_MS);
@@ -418,7 +418,7 @@
     fleet.advance(SETTLED_MS);
     fleet.actions.clear();
 
-    fleet.silent.push("w0".to_owned());
+    fleet.unresponsive.push("w0".to_owned());
     fleet.advance(2 * SETTLED_MS);
 
     let polls = fleet.actions.iter().filter_map(|action| match action {
@@ -443,12 +443,12 @@
     assert_eq!(fleet.highest_last_seen["w0"], 3);
     let second = fleet.submit(9, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
-    fleet.holds_progress = true;
+    fleet.defers_progress = true;
     fleet.end_all(second, EndKind::Done);
     fleet.advance(20);
-    fleet.holds_progress = false;
+    fleet.defers_progress = false;
 
-    fleet.restart_untold("w0");
+    fleet.restart_without_entry("w0");
     let id = fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.advance(20);
     assert_eq!(
--- a/tests/restarts/whole_path.rs
+++ b/tests/restarts/whole_path.rs
@@ -33,12 +33,12 @@
     let mut done = HashMap::new();
     for run in records {
         if let Some((ended, "done")) = run.ended
-            && !run.void
+            && !run.discounted
         {
             done.entry(&run.task).or_insert(ended);
         }
     }
-    let again = |run: &&RunRecord| done.get(&run.task).is_some_and(|&done| run.began > done);
+    let again = |run: &&RunRecord| done.get(&run.task).is_some_and(|&done| run.started > done);
     records.iter().filter(again).collect()
 }
 
@@ -47,8 +47,8 @@
     let overlaps = |run: &&RunRecord| {
         let mut earlier = records
             .iter()
-            .filter(|other| other.task == run.task && other.began < run.began);
-        earlier.any(|other| other.ended.is_none_or(|(ended, _)| ended > run.began))
+            .filter(|other| other.task == run.task && other.started < run.started);
+        earlier.any(|other| other.ended.is_none_or(|(ended, _)| ended > run.started))
     };
     records.iter().filter(overlaps).collect()
 }
@@ -56,7 +56,7 @@
 /// Submits a job to a daemon, and tells the stand-in's workers about it.
 fn submit(operator: &Operator, daemon: &Daemon, id: u64, body: &str) {
     let known = serde_json::from_str(body).expect("a job");
-    operator.world().note_job(id, &known);
+    operator.world().record_job(id, &known);
     let answer = daemon.request("POST", &path(id), body);
     assert!(matches!(answer, Answer::Status(200, _)), "{answer:?}");
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -11,7 +11,7 @@
     leaving_info,
     record,
     step,
-    wait_of_a_tight_gang, //
+    wait_of_a_same_rack_gang, //
 };
 use fuchsiaslip::core::JobId;
 use fuchsiaslip::scheduler::{
@@ -75,7 +75,7 @@
     assert_eq!(fleet.highest_last_seen["w0"], 0, "the end is not durable");
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::ProgressStored { job, change });
+    fleet.send_input(Input::ProgressStored { job, change });
     fleet.advance(200);
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(fleet.highest_last_seen["w0"], 1);
@@ -183,7 +183,7 @@
         assert_eq!(fleet.running().len(), 1, "after {kind:?}");
     }
 
-    fleet.tell(Input::JobCancelled(job));
+    fleet.send_input(Input::JobCancelled(job));
     fleet.advance(50);
     assert!(fleet.running().is_empty());
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Cancelled));
@@ -215,7 +215,7 @@
     let mut fleet = Fleet::with_workers(2);
     fleet.submit(1, record("patient", vec![step(16, 1)]));
     fleet.advance(100);
-    fleet.silent.push("w1".to_owned());
+    fleet.unresponsive.push("w1".to_owned());
 
     fleet.submit(2, record("urgent", vec![gang(2, 8)]));
     fleet.settle();
@@ -235,7 +235,7 @@
     fleet.settle();
     let worker = fleet.scheduler.workers()[0].key;
 
-    fleet.tell(Input::PollAnswered {
+    fleet.send_input(Input::PollAnswered {
         worker,
         sent_ms: fleet.now_ms,
         report: PollReport {
@@ -309,7 +309,7 @@
     let (mut fleet, ..) = Fleet::with_job(2, record("plain", vec![long]));
     let before = fleet.running()[0].0.clone();
 
-    fleet.tell(Input::WorkerRegistered(leaving_info(&before, 2_000)));
+    fleet.send_input(Input::WorkerRegistered(leaving_info(&before, 2_000)));
     fleet.advance(400);
 
     let after = fleet.running();
@@ -348,10 +348,10 @@
 fn a_start_without_an_answer_is_sent_again_under_its_number() {
     let mut fleet = Fleet::with_workers(1);
     fleet.advance(20);
-    fleet.silent.push("w0".to_owned());
+    fleet.unresponsive.push("w0".to_owned());
     fleet.submit(1, record("plain", vec![step(1, 1)]));
     fleet.settle();
-    fleet.silent.clear();
+    fleet.unresponsive.clear();
     fleet.advance(200);
 
     let runs: Vec<u64> = fleet.starts.iter().map(|start| start.0.run).collect();
@@ -366,7 +366,7 @@
 fn guaranteed_work_does_not_wait_for_its_rack_beyond_its_promise() {
     let mut fleet = Fleet::with_workers(1);
 
-    let waited_ms = wait_of_a_tight_gang(&mut fleet);
+    let waited_ms = wait_of_a_same_rack_gang(&mut fleet);
 
     assert!(waited_ms < 1_700, "began after {waited_ms} ms");
 }
@@ -398,7 +398,7 @@
     );
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
-    fleet.tell(Input::ProgressStored { job, change });
+    fleet.send_input(Input::ProgressStored { job, change });
     fleet.advance(10);
     assert_eq!(polls(&fleet), before + 1, "one poll acknowledges the end");
     assert_eq!(fleet.highest_last_seen["w0"], 1);
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -136,7 +136,7 @@
     let mut version = configuration(64);
     version.version = 2;
     version.queues.push(advised);
-    fleet.tell(Input::Configure(Arc::new(version)));
+    fleet.send_input(Input::Configure(Arc::new(version)));
     let job = fleet.submit(1, record("asked", vec![step(1, 1)]));
     fleet.advance(50);
     let step = GroupKey {
@@ -160,7 +160,7 @@
 fn answer_advice_request(fleet: &mut Fleet, step: GroupKey, approved: Option<&str>) {
     let asked = advice_requests(fleet).last().cloned().unwrap_or_default();
     let rows = approved.map(|name| vec![(name.to_owned(), Arc::from("ticket"))]);
-    fleet.tell(Input::AdviceResult {
+    fleet.send_input(Input::AdviceResult {
         step,
         asked,
         approved: rows,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -23,7 +23,7 @@
 use processes::{
     Answer,
     Daemon,
-    KeptClient,
+    PersistentClient,
     loopback, //
 };
 use proxy::{
@@ -144,7 +144,7 @@
     store_links: Vec<Proxy>,
     worker_links: Vec<Proxy>,
     daemons: Vec<Daemon>,
-    clients: Vec<KeptClient>,
+    clients: Vec<PersistentClient>,
     /// Daemons that are stopped by a signal.
     paused: Vec<usize>,
     /// Daemons that have received SIGTERM.
@@ -197,7 +197,7 @@
                 Daemon::spawn(&format!("d{at}"), ip, store_links[at].address)
             })
             .collect();
-        let clients = daemons.iter().map(KeptClient::of).collect();
+        let clients = daemons.iter().map(PersistentClient::of).collect();
         let soak = Self {
             seed,
             random: StdRng::seed_from_u64(seed),
@@ -248,7 +248,7 @@
         let mut world = self.operator.world();
         match fault {
             0 => world.mode = StoreMode::Refusing,
-            1 => world.mode = StoreMode::Silent,
+            1 => world.mode = StoreMode::Unresponsive,
             2 => world.mode = StoreMode::LosingAnswers,
             3 => world.mode = StoreMode::Late,
             4 => world.drop_history(),
@@ -352,7 +352,9 @@
 
     fn give_order(&mut self, data_centre: usize) {
         let name = data_centre_name(data_centre);
-        self.operator.world().empty(&name, b"not for reading");
+        self.operator
+            .world()
+            .order_emptying(&name, b"not for reading");
         self.orders.push(Order {
             data_centre,
             given: Instant::now(),
@@ -366,7 +368,7 @@
             // The order does not forbid starts from here on.
             order.withdrawn = Some(Instant::now());
             let name = data_centre_name(order.data_centre);
-            self.operator.world().give_back(&name);
+            self.operator.world().withdraw_emptying(&name);
         }
     }
 
@@ -397,7 +399,7 @@
     fn starts_between(&self, data_centre: usize, from: Instant, until: Instant) -> Vec<RunRecord> {
         let world = self.operator.world();
         let starts = world.records.iter().filter(|run| {
-            data_centre_of(run.worker) == data_centre && run.began > from && run.began < until
+            data_centre_of(run.worker) == data_centre && run.started > from && run.started < until
         });
         starts.cloned().collect()
     }
@@ -502,7 +504,7 @@
         let queue = ["u", "q"][self.random.random_range(0..2)];
         let path = format!("/{queue}/{job:016x}");
         let at = self.random_daemon();
-        self.operator.world().note_job(job, &body);
+        self.operator.world().record_job(job, &body);
         let answer = self.clients[at].request("POST", &path, &body.to_string());
         let outcome = match answer {
             Answer::Status(200, _) => SubmitOutcome::Accepted,
@@ -657,7 +659,7 @@
             by_task.entry(&record.task).or_default().push(record);
         }
         for (task, runs) in &mut by_task {
-            runs.sort_by_key(|record| record.began);
+            runs.sort_by_key(|record| record.started);
             let job = u64::from_str_radix(&task[..16], 16).expect("a job's name");
             let sent = self.sent.get(&job);
             let what = format!("seed {}: {task} of {sent:?}: {runs:#?}", self.seed);
@@ -703,7 +705,10 @@
     let now = Instant::now();
     for pair in runs.windows(2) {
         let ended = pair[0].ended.map_or(now, |(ended, _)| ended);
-        assert!(ended <= pair[1].began, "two runs at the same time: {what}");
+        assert!(
+            ended <= pair[1].started,
+            "two runs at the same time: {what}"
+        );
     }
     let mut by_order = runs.to_vec();
     by_order.sort_by_key(|run| run.ordered);
@@ -714,7 +719,7 @@
         assert!(rises || copy, "run numbers do not rise: {what}");
     }
     let ended = |kind: &str| {
-        let counted = runs.iter().filter(|run| !run.void);
+        let counted = runs.iter().filter(|run| !run.discounted);
         counted
             .filter(|run| matches!(run.ended, Some((_, own)) if own == kind))
             .count()
@@ -731,7 +736,7 @@
     let occurrence = task.split('.').nth(1).and_then(|part| part.parse().ok());
     let interval_ms = body["interval_ms"].as_u64().unwrap_or(0);
     let due_ms = start_ms + occurrence.unwrap_or(0u64) * interval_ms;
-    let early = runs.iter().any(|run| run.began_ms + EARLY_MS < due_ms);
+    let early = runs.iter().any(|run| run.started_ms + EARLY_MS < due_ms);
     assert!(!early, "started before {due_ms}: {what}");
 }
 
@@ -747,7 +752,7 @@
             let prefix = format!("{job:016x}.0.{at}.");
             let runs = by_task.iter().filter(|(task, _)| task.starts_with(&prefix));
             let first = runs
-                .flat_map(|(_, runs)| runs.iter().map(|run| run.began))
+                .flat_map(|(_, runs)| runs.iter().map(|run| run.started))
                 .min();
             let dependencies = step["after"].as_array().cloned().unwrap_or_default();
             let Some(first) = first.filter(|_| !dependencies.is_empty()) else {
--- a/tests/stand_in.rs
+++ b/tests/stand_in.rs
@@ -34,7 +34,9 @@
 fn operator_with_step(workers: usize, step: &Value) -> Operator {
     let operator = Operator::spawn(workers);
     operator.world().keeps_names = true;
-    operator.world().note_job(JOB, &json!({ "steps": [step] }));
+    operator
+        .world()
+        .record_job(JOB, &json!({ "steps": [step] }));
     operator
 }
 
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -1,7 +1,7 @@
 //! Feeds a list of jobs to the decision core in virtual time.
 //!
 //! No cluster is simulated: workers obey every order after a fixed time, and
-//! tasks fail only on the bad workers of the mix or if the job is broken.
+//! tasks fail only on the bad workers of the mix or if the job always fails.
 #![allow(
     dead_code,
     clippy::allow_attributes,
@@ -58,7 +58,7 @@
     pub idempotent: bool,
     pub cancel_at_ms: Option<u64>,
     /// Whether its tasks fail on every worker.
-    pub broken: bool,
+    pub always_fails: bool,
 }
 
 /// A list of jobs and the fleet on which they run.
@@ -106,11 +106,11 @@
         submission
     }
 
-    /// Returns whether the job counts in the figures: it is neither cancelled nor
-    /// broken.
+    /// Returns whether the job counts in the figures: it is not cancelled and
+    /// does not always fail.
     pub fn counts(&self, index: usize) -> bool {
         let job = &self.jobs[index];
-        !job.broken && job.cancel_at_ms.is_none()
+        !job.always_fails && job.cancel_at_ms.is_none()
     }
 }
 
@@ -414,7 +414,7 @@
             .insert((attempt, worker), (self.now_ms + CALL_MS, progress_ms));
         self.schedule_report(attempt, worker, CALL_MS, MemberEvent::Started);
         let listed = &self.mix.jobs[index];
-        let fails = self.mix.bad_workers.contains(&(worker as usize)) || listed.broken;
+        let fails = self.mix.bad_workers.contains(&(worker as usize)) || listed.always_fails;
         let remaining_ms = listed.actual_run_ms.saturating_sub(progress_ms).max(1);
         match fails {
             true => self.schedule_report(
--- a/tests/support/twice.rs
+++ b/tests/support/ends_simulation.rs
@@ -86,7 +86,7 @@
     /// Starts with an owner and idle workers.
     pub fn begin() -> Self {
         let mut fleet = Fleet::with_workers(WORKERS as usize);
-        fleet.holds_progress = true;
+        fleet.defers_progress = true;
         Self {
             fleet,
             jobs: Vec::new(),
@@ -137,7 +137,9 @@
     /// Repairs all faults and asserts that all ends are acknowledged soon.
     pub fn repair_and_drain(&mut self) {
         let workers = &self.fleet.workers;
-        self.fleet.silent.retain(|name| !workers.contains_key(name));
+        self.fleet
+            .unresponsive
+            .retain(|name| !workers.contains_key(name));
         self.report_jobs();
         for _ in 0..DRAIN_MS / STEP_MS {
             self.wait(STEP_MS);
@@ -172,7 +174,7 @@
     fn expire_leases(&mut self) {
         let now_ms = self.fleet.now_ms;
         for (worker, fake) in &mut self.fleet.workers {
-            if !fake.has_lapsed(now_ms) {
+            if !fake.has_expired_lease(now_ms) {
                 continue;
             }
             let listed = fake.ended.iter().map(|row| (worker.clone(), row.number));
@@ -258,7 +260,7 @@
             return;
         };
         self.cancelled.insert(job);
-        self.fleet.tell(Input::JobCancelled(job));
+        self.fleet.send_input(Input::JobCancelled(job));
     }
 
     fn worker_names(&self) -> Vec<String> {
@@ -267,17 +269,18 @@
     }
 
     fn toggle_responding(&mut self, worker: &str) {
-        let silent = &mut self.fleet.silent;
-        match silent.iter().position(|name| name == worker) {
-            Some(at) => drop(silent.remove(at)),
-            None => silent.push(worker.to_owned()),
+        let unresponsive = &mut self.fleet.unresponsive;
+        match unresponsive.iter().position(|name| name == worker) {
+            Some(at) => drop(unresponsive.remove(at)),
+            None => unresponsive.push(worker.to_owned()),
         }
     }
 
     fn lose_worker(&mut self, worker: &str) {
         self.fleet.workers.remove(worker);
-        self.fleet.silent.push(worker.to_owned());
-        self.fleet.tell(Input::WorkerUnlisted(worker.to_owned()));
+        self.fleet.unresponsive.push(worker.to_owned());
+        self.fleet
+            .send_input(Input::WorkerUnlisted(worker.to_owned()));
         let next = format!("w{}", self.workers_created);
         self.workers_created += 1;
         self.fleet.add_worker(&next, "r1");
@@ -295,16 +298,16 @@
         let newest = newest.filter(|job| behind && may_be_new(job));
         self.unreported.extend(newest);
         let is_reported =
-            |job: &JobId| !self.unreported.contains(job) && !self.fleet.forgotten.contains(job);
+            |job: &JobId| !self.unreported.contains(job) && !self.fleet.deleted_jobs.contains(job);
         let jobs = self.jobs.iter().filter(|(job, _)| is_reported(job));
         let jobs: Vec<_> = jobs.cloned().collect();
         let mut next = self
             .fleet
             .next_owner(self.epoch, &jobs, earlier_owner_exited);
-        next.holds_progress = true;
-        next.follows_jobs = self.unreported.is_empty();
+        next.defers_progress = true;
+        next.reports_jobs_read = self.unreported.is_empty();
         for &job in &self.cancelled {
-            next.tell(Input::JobCancelled(job));
+            next.send_input(Input::JobCancelled(job));
         }
         self.fleet = next;
         (self.checked_ends, self.checked_starts) = (0, 0);
@@ -313,15 +316,15 @@
     fn report_jobs(&mut self) {
         for job in std::mem::take(&mut self.unreported) {
             let known = self.jobs.iter().find(|(id, _)| *id == job);
-            if let Some((id, record)) = known.filter(|_| !self.fleet.forgotten.contains(&job)) {
-                self.fleet.tell(Input::JobStored {
+            if let Some((id, record)) = known.filter(|_| !self.fleet.deleted_jobs.contains(&job)) {
+                self.fleet.send_input(Input::JobStored {
                     id: *id,
                     record: Arc::new(record.clone()),
                     progress: None,
                 });
             }
         }
-        self.fleet.follows_jobs = true;
+        self.fleet.reports_jobs_read = true;
     }
 
     fn check(&mut self) {
@@ -348,7 +351,7 @@
         if expired {
             return;
         }
-        let over = self.cancelled.contains(&job) || self.fleet.forgotten.contains(&job);
+        let over = self.cancelled.contains(&job) || self.fleet.deleted_jobs.contains(&job);
         let gang = self.gang_width(job).is_some();
         let stored = acknowledged.stored.as_ref();
         let recorded = match acknowledged.row.kind {
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether its lease has expired.
-    pub fn has_lapsed(&self, now_ms: u64) -> bool {
+    pub fn has_expired_lease(&self, now_ms: u64) -> bool {
         self.clock_ms(now_ms) > self.lease_end_ms
     }
 
@@ -114,21 +114,21 @@
     pub now_ms: u64,
     pub workers: HashMap<String, FakeWorker>,
     /// Workers that do not answer.
-    pub silent: Vec<String>,
+    pub unresponsive: Vec<String>,
     /// Whether workers carry out the stops that they answer.
     pub stops_take_effect: bool,
     /// Whether writes to the store are carried out, at once.
     pub store_answers: bool,
     /// Whether writes of progress wait in `pending` until a test commits them.
-    pub holds_progress: bool,
+    pub defers_progress: bool,
     pub pending: BTreeMap<JobId, (u64, ProgressRecord)>,
     pub stored: HashMap<JobId, (u64, ProgressRecord)>,
     /// Jobs that were deleted from the store.
-    pub forgotten: HashSet<JobId>,
+    pub deleted_jobs: HashSet<JobId>,
     /// Whether the scheduler is informed that its view of the stored jobs is current.
-    pub follows_jobs: bool,
+    pub reports_jobs_read: bool,
     /// Whether the scheduler is informed that its view of the workers' entries is current.
-    pub follows_entries: bool,
+    pub reports_entries_read: bool,
     /// Ends that were acknowledged to workers, in the order of the messages.
     pub acknowledged: Vec<Acknowledged>,
     /// Closed workers, with the runs that they may have.
@@ -301,17 +301,17 @@
 
 /// Returns how long an urgent gang of two whole workers that requests one rack waits,
 /// after ten workers were added to the fleet that are each alone on a rack.
-pub fn wait_of_a_tight_gang(fleet: &mut Fleet) -> u64 {
+pub fn wait_of_a_same_rack_gang(fleet: &mut Fleet) -> u64 {
     for rack in 2..12 {
         fleet.add_worker(&format!("w{rack}"), &format!("r{rack}"));
     }
     fleet.advance(500);
-    let tight = StepSpec {
+    let same_rack_step = StepSpec {
         same_rack: true,
         ..gang(2, 8)
     };
     let accepted_ms = fleet.now_ms;
-    let mut job = record("urgent", vec![tight]);
+    let mut job = record("urgent", vec![same_rack_step]);
     job.received_ms = accepted_ms;
 
     fleet.submit(1, job);
@@ -345,11 +345,11 @@
         let start_ms = BEGIN_MS - WARM_UP_MS;
         let mut fleet = Self::without_workers(Scheduler::new(1, tuning, start_ms));
         fleet.now_ms = start_ms;
-        fleet.tell(Input::Configure(Arc::new(configuration(64))));
+        fleet.send_input(Input::Configure(Arc::new(configuration(64))));
         for at in 0..count {
             fleet.add_worker(&format!("w{at}"), "r1");
         }
-        fleet.tell(Input::StoredStateRead {
+        fleet.send_input(Input::StoredStateRead {
             earlier_owner_exited: true,
         });
         fleet.advance(WARM_UP_MS);
@@ -386,20 +386,20 @@
         earlier_owner_exited: bool,
     ) -> Self {
         self.next_owner_with(epoch, earlier_owner_exited, |next| {
-            next.tell(Input::Configure(Arc::new(known)));
+            next.send_input(Input::Configure(Arc::new(known)));
             let mut names: Vec<&String> = self.workers.keys().collect();
             names.sort();
             for name in names {
-                next.tell(self.roster_input(name));
-                next.tell(Input::WorkerRegistered(next.placed_info(name, "r1")));
+                next.send_input(self.roster_input(name));
+                next.send_input(Input::WorkerRegistered(next.placed_info(name, "r1")));
             }
             for (name, _) in self.scheduler.roster() {
                 if !self.workers.contains_key(&name) {
-                    next.tell(self.roster_input(&name));
+                    next.send_input(self.roster_input(&name));
                 }
             }
             for (id, record) in jobs {
-                next.tell(Input::JobStored {
+                next.send_input(Input::JobStored {
                     id: *id,
                     record: Arc::new(record.clone()),
                     progress: self.stored.get(id).map(|(_, progress)| progress.clone()),
@@ -418,16 +418,16 @@
     }
 
     /// Returns the fleet of `self` under a new owner that knows the configuration and the
-    /// inputs that `tell` sends it.
-    pub fn next_owner_told(
+    /// inputs that `send_inputs` sends it.
+    pub fn next_owner_with_inputs(
         &self,
         epoch: u64,
         earlier_owner_exited: bool,
-        tell: impl FnOnce(&mut Self),
+        send_inputs: impl FnOnce(&mut Self),
     ) -> Self {
         self.next_owner_with(epoch, earlier_owner_exited, |next| {
-            next.tell(Input::Configure(Arc::new(configuration(64))));
-            tell(next);
+            next.send_input(Input::Configure(Arc::new(configuration(64))));
+            send_inputs(next);
         })
     }
 
@@ -435,13 +435,13 @@
         &self,
         epoch: u64,
         earlier_owner_exited: bool,
-        tell: impl FnOnce(&mut Self),
+        send_inputs: impl FnOnce(&mut Self),
     ) -> Self {
         let scheduler = Scheduler::new(epoch, Tuning::default(), self.now_ms);
         let mut next = Self::without_workers(scheduler);
         next.now_ms = self.now_ms;
         next.workers = self.workers.clone();
-        next.silent = self.silent.clone();
+        next.unresponsive = self.unresponsive.clone();
         next.places = self.places.clone();
         next.crashing = self.crashing.clone();
         next.crash_after_ms = self.crash_after_ms;
@@ -453,9 +453,9 @@
         next.scheduled_changes = self.scheduled_changes.clone();
         next.stored = self.stored.clone();
         next.closed = self.closed.clone();
-        next.forgotten = self.forgotten.clone();
-        tell(&mut next);
-        next.tell(Input::StoredStateRead {
+        next.deleted_jobs = self.deleted_jobs.clone();
+        send_inputs(&mut next);
+        next.send_input(Input::StoredStateRead {
             earlier_owner_exited,
         });
         next
@@ -466,15 +466,15 @@
             scheduler,
             now_ms: BEGIN_MS,
             workers: HashMap::new(),
-            silent: Vec::new(),
+            unresponsive: Vec::new(),
             stops_take_effect: true,
             store_answers: true,
-            holds_progress: false,
+            defers_progress: false,
             pending: BTreeMap::new(),
             stored: HashMap::new(),
-            forgotten: HashSet::new(),
-            follows_jobs: true,
-            follows_entries: true,
+            deleted_jobs: HashSet::new(),
+            reports_jobs_read: true,
+            reports_entries_read: true,
             acknowledged: Vec::new(),
             closed: HashMap::new(),
             actions: Vec::new(),
@@ -507,7 +507,7 @@
         let now_ms = self.now_ms;
         let worker = self.workers.entry(name.to_owned());
         worker.or_insert_with(|| FakeWorker::started_at(now_ms));
-        self.tell(Input::WorkerRegistered(self.placed_info(name, rack)));
+        self.send_input(Input::WorkerRegistered(self.placed_info(name, rack)));
     }
 
     /// Registers a worker in a data centre.
@@ -537,15 +537,15 @@
 
     /// Crashes a worker and brings it back at once under its name; its new entry is not
     /// written yet.
-    pub fn restart_untold(&mut self, name: &str) {
+    pub fn restart_without_entry(&mut self, name: &str) {
         assert!(self.exit(name), "a known worker");
         let worker = FakeWorker::started_at(self.now_ms);
         self.workers.insert(name.to_owned(), worker);
     }
 
-    /// As [`Fleet::restart_untold`], and writes the new entry.
+    /// As [`Fleet::restart_without_entry`], and writes the new entry.
     pub fn restart(&mut self, name: &str) {
-        self.restart_untold(name);
+        self.restart_without_entry(name);
         self.add_worker(name, "r1");
     }
 
@@ -581,7 +581,7 @@
         let before = std::mem::take(&mut machine.worker);
         self.workers.remove(&before);
         self.upkeeps.push((name.to_owned(), self.now_ms));
-        self.tell(Input::WorkerUnlisted(before));
+        self.send_input(Input::WorkerUnlisted(before));
     }
 
     /// Adds a new worker for each machine whose upkeep is over.
@@ -656,7 +656,7 @@
             match change {
                 WorkerChange::Crash => self.crash(&name),
                 WorkerChange::Unlist if self.workers.contains_key(&name) => {}
-                WorkerChange::Unlist => self.tell(Input::WorkerUnlisted(name)),
+                WorkerChange::Unlist => self.send_input(Input::WorkerUnlisted(name)),
                 WorkerChange::Return if self.keeps_names => self.add_worker(&name, "r1"),
                 WorkerChange::Return => {
                     let (base, number) = name
@@ -695,14 +695,14 @@
     }
 
     /// Passes an input to the scheduler; no action is carried out yet.
-    pub fn tell(&mut self, input: Input) {
+    pub fn send_input(&mut self, input: Input) {
         self.scheduler.handle(input, self.now_ms);
     }
 
     /// Accepts a job.
     pub fn submit(&mut self, id: u64, record: JobRecord) -> JobId {
         let id = JobId(id);
-        self.tell(Input::JobStored {
+        self.send_input(Input::JobStored {
             id,
             record: Arc::new(record),
             progress: None,
@@ -716,14 +716,14 @@
         let until_ms = self.now_ms + by_ms;
         while self.now_ms < until_ms {
             self.now_ms = (self.now_ms + STEP_MS).min(until_ms);
-            self.tell(Input::EpochConfirmed(self.now_ms));
-            if self.follows_jobs {
+            self.send_input(Input::EpochConfirmed(self.now_ms));
+            if self.reports_jobs_read {
                 let sent_ms = self.now_ms;
-                self.tell(Input::JobsRead { sent_ms });
+                self.send_input(Input::JobsRead { sent_ms });
             }
-            if self.follows_entries {
+            if self.reports_entries_read {
                 let sent_ms = self.now_ms;
-                self.tell(Input::EntriesRead { sent_ms });
+                self.send_input(Input::EntriesRead { sent_ms });
             }
             self.return_machines();
             self.apply_due_changes();
@@ -785,7 +785,7 @@
                 let name = callee.worker_name.to_string();
                 if *callee.address != *address_of(&name) || self.is_replaced(&name) {
                     // Another incarnation is at that address.
-                    self.tell(Input::PollFailed {
+                    self.send_input(Input::PollFailed {
                         worker: callee.worker,
                         outcome: CallOutcome::OtherIncarnation,
                     });
@@ -834,7 +834,7 @@
                     }
                     (false, _) => CallOutcome::OtherIncarnation,
                 };
-                self.tell(Input::StartResult {
+                self.send_input(Input::StartResult {
                     worker: callee.worker,
                     name,
                     outcome,
@@ -845,27 +845,27 @@
                 self.stops.push((name, worker.clone()));
                 let there = *callee.address == *address_of(&worker) && !self.is_replaced(&worker);
                 let gone = !self.workers.contains_key(&worker);
-                let silent = self.silent.contains(&worker) || gone || !there;
+                let unresponsive = self.unresponsive.contains(&worker) || gone || !there;
                 if let Some(fake) = self
                     .workers
                     .get_mut(&worker)
-                    .filter(|_| !silent && self.stops_take_effect)
+                    .filter(|_| !unresponsive && self.stops_take_effect)
                 {
                     fake.end(name, EndKind::Stopped);
                     fake.refused_runs.insert(name.task, name.run);
                 }
-                let outcome = match (there, silent) {
+                let outcome = match (there, unresponsive) {
                     (false, _) => CallOutcome::OtherIncarnation,
                     (true, true) => CallOutcome::NoAnswer,
                     (true, false) => CallOutcome::Done,
                 };
-                self.tell(Input::StopResult {
+                self.send_input(Input::StopResult {
                     worker: callee.worker,
                     name,
                     outcome,
                 });
             }
-            Action::StoreProgress { job } if self.holds_progress => {
+            Action::StoreProgress { job } if self.defers_progress => {
                 if let Some(progress) = self.scheduler.progress(job) {
                     self.pending.insert(job, progress);
                 }
@@ -873,7 +873,7 @@
             Action::StoreProgress { job } if self.store_answers => {
                 if let Some((change, progress)) = self.scheduler.progress(job) {
                     self.stored.insert(job, (change, progress));
-                    self.tell(Input::ProgressStored { job, change });
+                    self.send_input(Input::ProgressStored { job, change });
                 }
             }
             Action::StoreClosedWorker { worker } if self.store_answers => {
@@ -883,7 +883,7 @@
                 let closed = row.as_ref().is_some_and(|(closed, _)| *closed);
                 let runs = row.and_then(|(closed, runs)| closed.then_some(runs));
                 self.closed.insert(worker_name.clone(), runs);
-                self.tell(Input::ClosedWorkerStored {
+                self.send_input(Input::ClosedWorkerStored {
                     worker_name,
                     closed,
                 });
@@ -894,7 +894,7 @@
                 percent,
             } => {
                 self.throttles.push((name, percent));
-                self.tell(Input::ThrottleResult {
+                self.send_input(Input::ThrottleResult {
                     worker: callee.worker,
                     name,
                     outcome: CallOutcome::Done,
@@ -910,7 +910,7 @@
                     worker_name: Some(machine.worker.clone()).filter(|name| !name.is_empty()),
                 });
                 let machines = Some(rows.collect());
-                self.tell(Input::MachineList {
+                self.send_input(Input::MachineList {
                     sent_ms: self.now_ms,
                     machines,
                 });
@@ -921,7 +921,7 @@
                     true => UpkeepOutcome::Begun,
                     false => UpkeepOutcome::NoAnswer,
                 };
-                self.tell(Input::UpkeepResult {
+                self.send_input(Input::UpkeepResult {
                     wave,
                     machine,
                     outcome,
@@ -929,12 +929,12 @@
             }
             Action::DeleteJob { job } if self.store_answers => {
                 self.stored.remove(&job);
-                self.forgotten.insert(job);
-                self.tell(Input::JobDeleted(job));
+                self.deleted_jobs.insert(job);
+                self.send_input(Input::JobDeleted(job));
             }
             Action::StoreRoster if self.store_answers => {
                 let names = self.scheduler.roster().into_iter().map(|(name, _)| name);
-                self.tell(Input::RosterStored(names.collect()));
+                self.send_input(Input::RosterStored(names.collect()));
             }
             _ => {}
         }
@@ -949,7 +949,7 @@
         self.stored.insert(job, (change, progress));
         if answered {
             self.pending.remove(&job);
-            self.tell(Input::ProgressStored { job, change });
+            self.send_input(Input::ProgressStored { job, change });
         }
     }
 
@@ -973,7 +973,7 @@
     }
 
     fn start(&mut self, worker: &str, name: RunName) -> CallOutcome {
-        if self.loses_starts || self.silent.iter().any(|silent| silent == worker) {
+        if self.loses_starts || self.unresponsive.iter().any(|name| name == worker) {
             return CallOutcome::NoAnswer;
         }
         if let Some(refusal) = self.refusal {
@@ -1012,10 +1012,11 @@
             } = poll;
             // A poll ends with the incarnation that it reached.
             let there = self.workers.get(name).map(|fake| fake.incarnation_start_ms);
-            let silent =
-                self.silent.contains(name) || there.is_none() || there != incarnation_start_ms;
-            if silent {
-                self.tell(Input::PollFailed {
+            let unresponsive = self.unresponsive.contains(name)
+                || there.is_none()
+                || there != incarnation_start_ms;
+            if unresponsive {
+                self.send_input(Input::PollFailed {
                     worker,
                     outcome: CallOutcome::NoAnswer,
                 });
@@ -1047,7 +1048,7 @@
                 ended: fake.ended.clone(),
             };
             answered = true;
-            self.tell(Input::PollAnswered {
+            self.send_input(Input::PollAnswered {
                 worker,
                 sent_ms,
                 report,
--- a/tests/support/mixes.rs
+++ b/tests/support/mixes.rs
@@ -322,7 +322,7 @@
             actual_run_ms,
             idempotent: stream.idempotent,
             cancel_at_ms: None,
-            broken: false,
+            always_fails: false,
         }
     }
 
@@ -389,7 +389,7 @@
 }
 
 /// Adds what distinguishes the mix called `name`: bursts, wrong declared run times,
-/// bad workers and broken jobs, mass cancellations, or jobs that fill every guarantee.
+/// bad workers and jobs that always fail, mass cancellations, or jobs that fill every guarantee.
 fn add_special_events(
     mix: &mut Mix,
     generator: &mut Generator,
@@ -418,7 +418,7 @@
         "bad-worker" => {
             mix.bad_workers = [3, 17, 31].into();
             for at in 0..generator.jobs.len() {
-                generator.jobs[at].broken = generator.random.random_range(0..100) == 0;
+                generator.jobs[at].always_fails = generator.random.random_range(0..100) == 0;
             }
         }
         "cancellation" => {
@@ -488,7 +488,7 @@
             actual_run_ms: if urgent && !filling { 5_000 } else { run_ms },
             idempotent: true,
             cancel_at_ms: None,
-            broken: false,
+            always_fails: false,
         });
     }
     let mut declaration = parse(JADRAN_DECLARATION);
--- a/tests/support/naive.rs
+++ b/tests/support/naive.rs
@@ -240,7 +240,7 @@
                 let wait_ms = self.now_ms - job.at_ms;
                 self.figures.large_gang_waits_ms.push(wait_ms);
             }
-            let fails = job.broken
+            let fails = job.always_fails
                 || members
                     .iter()
                     .any(|worker| self.mix.bad_workers.contains(worker));
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -55,7 +55,7 @@
     /// It answers every call with 503.
     Refusing,
     /// It answers no call.
-    Silent,
+    Unresponsive,
     /// All writes are carried out, but one in three gets no answer.
     LosingAnswers,
     /// One in three writes gets no answer and is carried out late, if its conditions still
@@ -75,14 +75,14 @@
     pub worker: usize,
     /// When the order to start it arrived. It may have been carried out later.
     pub ordered: Instant,
-    pub began: Instant,
+    pub started: Instant,
     /// When it started, in milliseconds since the Unix epoch.
-    pub began_ms: u64,
+    pub started_ms: u64,
     /// When and how it ended.
     pub ended: Option<(Instant, &'static str)>,
     /// The worker's lease expired before the end was acknowledged. The run does not count,
     /// and its task may be started again.
-    pub void: bool,
+    pub discounted: bool,
 }
 
 #[derive(Debug)]
@@ -280,7 +280,7 @@
     }
 
     /// Removes a value as another writer may.
-    pub fn take_away(&mut self, key: &str) {
+    pub fn remove_value(&mut self, key: &str) {
         self.remove(key);
     }
 
@@ -290,13 +290,13 @@
     }
 
     /// Orders that a data centre gets no new tasks; daemons must ignore the value.
-    pub fn empty(&mut self, data_centre: &str, value: &[u8]) {
+    pub fn order_emptying(&mut self, data_centre: &str, value: &[u8]) {
         let key = format!("op/evacuate/{data_centre}");
         self.put_raw(&key, BASE64_STANDARD.encode(value), 0);
     }
 
     /// Withdraws the order for a data centre.
-    pub fn give_back(&mut self, data_centre: &str) {
+    pub fn withdraw_emptying(&mut self, data_centre: &str) {
         self.remove(&format!("op/evacuate/{data_centre}"));
     }
 
@@ -314,14 +314,15 @@
     }
 
     /// Records the steps of a submitted job, from which workers learn what their runs need.
-    pub fn note_job(&mut self, job: u64, body: &Value) {
+    pub fn record_job(&mut self, job: u64, body: &Value) {
         let steps = body["steps"].as_array().cloned().unwrap_or_default();
-        let asked = steps.iter().map(|step| SubmittedStep {
+        let submitted = steps.iter().map(|step| SubmittedStep {
             count: step["count"].as_u64().unwrap_or(1) as usize,
             accelerators: step["gpu"].as_u64().unwrap_or(0),
             gang: step["gang"].as_bool().unwrap_or(false),
         });
-        self.steps.insert(format!("{job:016x}"), asked.collect());
+        self.steps
+            .insert(format!("{job:016x}"), submitted.collect());
     }
 
     /// Returns the keys under a prefix.
@@ -398,7 +399,7 @@
         }
         .start_incarnation();
         for record in unacknowledged_runs {
-            self.records[record].void = true;
+            self.records[record].discounted = true;
         }
         if !self.keeps_names {
             self.remove(&old);
@@ -609,7 +610,7 @@
         if lease_expired {
             let unacknowledged_runs: Vec<usize> = worker.unacknowledged.values().copied().collect();
             for record in unacknowledged_runs {
-                self.records[record].void = true;
+                self.records[record].discounted = true;
             }
         }
         for (task, (_, end_kind)) in due_runs {
@@ -721,10 +722,10 @@
             epoch: body["fencing_token"].as_u64().unwrap_or(0),
             worker: at,
             ordered,
-            began: now,
-            began_ms: unix_ms(),
+            started: now,
+            started_ms: unix_ms(),
             ended: None,
-            void: false,
+            discounted: false,
         });
         if step.gang {
             let members = self.members(&task, run);
@@ -1016,7 +1017,7 @@
     let mode = lock(&world).mode;
     match mode {
         StoreMode::Refusing => return respond((StatusCode::SERVICE_UNAVAILABLE, json!({}))),
-        StoreMode::Silent => return no_answer().await,
+        StoreMode::Unresponsive => return no_answer().await,
         _ => {}
     }
     let body = body_of(&mut request).await;
@@ -1082,7 +1083,7 @@
     let until = Instant::now() + Duration::from_millis(number("wait_ms"));
     loop {
         // A store that stops answering does not answer waiting watches either.
-        if lock(world).mode == StoreMode::Silent {
+        if lock(world).mode == StoreMode::Unresponsive {
             return no_answer().await;
         }
         {
--- a/tests/support/processes.rs
+++ b/tests/support/processes.rs
@@ -167,12 +167,12 @@
 }
 
 /// A client that keeps its connection until it breaks, as most clients do.
-pub struct KeptClient {
+pub struct PersistentClient {
     ip: Ipv4Addr,
     stream: Option<TcpStream>,
 }
 
-impl KeptClient {
+impl PersistentClient {
     /// Creates a client of a daemon; it connects with its first request.
     pub fn of(daemon: &Daemon) -> Self {
         Self {
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -108,7 +108,7 @@
     let mut next = fleet.next_owner_under(2, unknown, &[job], true);
     next.advance(100);
     let status_without_terms = next.scheduler.job_status(id);
-    next.tell(Input::Configure(Arc::new(configuration(64))));
+    next.send_input(Input::Configure(Arc::new(configuration(64))));
     next.advance(2_000);
 
     assert_ne!(status_without_terms, Some(JobStatus::Failed));
@@ -128,7 +128,7 @@
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(100);
-    next.tell(Input::Configure(Arc::new(configuration(64))));
+    next.send_input(Input::Configure(Arc::new(configuration(64))));
     next.advance(2_000);
 
     assert!(next.starts.is_empty(), "a third attempt was started");
@@ -148,7 +148,7 @@
     let id = fleet.submit(1, record("new", vec![step(1, 1)]));
     fleet.advance(50);
     let before = fleet.starts.len();
-    fleet.tell(Input::Configure(Arc::new(with_queue)));
+    fleet.send_input(Input::Configure(Arc::new(with_queue)));
     fleet.advance(50);
 
     let job = fleet.scheduler.jobs().find(|job| job.id == id).unwrap();
@@ -182,7 +182,7 @@
     let id = fleet.submit(1, accepted_under(2, 4));
     fail_twice(&mut fleet, id);
 
-    fleet.tell(Input::Configure(Arc::new(without_plain(3))));
+    fleet.send_input(Input::Configure(Arc::new(without_plain(3))));
     fleet.advance(100);
 
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Running));
@@ -217,7 +217,7 @@
     fleet.end_run(&worker, failed, EndKind::Failed);
     fleet.advance(2_000);
 
-    fleet.tell(Input::Configure(Arc::new(with_max_attempts(2, 1))));
+    fleet.send_input(Input::Configure(Arc::new(with_max_attempts(2, 1))));
     fleet.advance(100);
     let status_after_change = fleet.scheduler.job_status(id);
     fleet.end_all(id, EndKind::Done);
@@ -246,7 +246,7 @@
     let unknown = ClusterConfiguration::default();
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(200);
-    next.tell(Input::Configure(Arc::new(with_max_attempts(1, 1))));
+    next.send_input(Input::Configure(Arc::new(with_max_attempts(1, 1))));
     next.advance(200);
 
     assert_eq!(next.scheduler.job_status(id), Some(JobStatus::Running));
@@ -268,7 +268,7 @@
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(200);
     let objective_without_terms = objective(&next);
-    next.tell(Input::Configure(Arc::new(configuration(64))));
+    next.send_input(Input::Configure(Arc::new(configuration(64))));
     next.advance(50);
 
     assert!(objective_without_terms < objective_with_terms);
@@ -309,7 +309,7 @@
     let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
     next.advance(50);
 
-    next.tell(Input::WorkerRegistered(leaving_info(&there, 100)));
+    next.send_input(Input::WorkerRegistered(leaving_info(&there, 100)));
     next.advance(300);
 
     assert_eq!(next.running().len(), 1, "stops {:?}", next.stops);
@@ -320,7 +320,7 @@
 #[test]
 fn the_failure_of_a_gang_names_the_failed_member() {
     let mut fleet = Fleet::with_workers(3);
-    fleet.tell(Input::Configure(Arc::new(with_max_attempts(2, 1))));
+    fleet.send_input(Input::Configure(Arc::new(with_max_attempts(2, 1))));
     let id = fleet.submit(1, record("plain", vec![gang(4, 1)]));
     fleet.advance(200);
     let member = |(_, name): &(String, RunName)| name.task.index == 2;
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -67,7 +67,7 @@
     let job = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
     let busy = format!("m-{}", fleet.running()[0].0);
-    fleet.tell(wave(&["m-w0", "m-w1", "m-w2"], 60_000, 1));
+    fleet.send_input(wave(&["m-w0", "m-w1", "m-w2"], 60_000, 1));
 
     let most_down = advance_until_completed(&mut fleet, 12_000);
 
@@ -96,7 +96,7 @@
     let mut fleet = fleet_with_machines(1);
     fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
-    fleet.tell(wave(&["m-w0"], 8_000, 1));
+    fleet.send_input(wave(&["m-w0"], 8_000, 1));
 
     advance_until_completed(&mut fleet, 9_000);
 
@@ -110,7 +110,7 @@
 fn no_more_machines_than_the_cap_are_down_or_may_be_down() {
     let mut fleet = fleet_with_machines(4);
     fleet.upkeep_answers = false;
-    fleet.tell(wave(&["m-w0", "m-w1", "m-w2", "m-w3"], 60_000, 2));
+    fleet.send_input(wave(&["m-w0", "m-w1", "m-w2", "m-w3"], 60_000, 2));
 
     fleet.advance(5_000);
     assert_eq!(
@@ -144,7 +144,7 @@
     at_work(&mut fleet);
     fleet.advance(500);
     let host = format!("m-{}", fleet.running()[0].0);
-    fleet.tell(wave(&[&host], 3_000, 1));
+    fleet.send_input(wave(&[&host], 3_000, 1));
 
     let mut fewest = 4;
     for _ in 0..1_200 {
@@ -167,14 +167,14 @@
 #[test]
 fn a_new_owner_continues_a_wave() {
     let mut fleet = fleet_with_machines(2);
-    fleet.tell(wave(&["m-w0", "m-w1"], 60_000, 1));
+    fleet.send_input(wave(&["m-w0", "m-w1"], 60_000, 1));
     while fleet.upkeeps.is_empty() {
         fleet.advance(STEP_MS);
     }
     let jobs: [(JobId, fuchsiaslip::scheduler::JobRecord); 0] = [];
     let mut next = fleet.next_owner(2, &jobs, true);
     next.machines = fleet.machines.clone();
-    next.tell(wave(&["m-w0", "m-w1"], 60_000, 1));
+    next.send_input(wave(&["m-w0", "m-w1"], 60_000, 1));
 
     next.advance(2_500);
     assert!(
