--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -17,7 +17,7 @@
     cell::JobTimer,
     queue::GroupKey,
     region,
-    region::End, //
+    region::PackingEnd, //
 };
 use crate::ledger::ChangeKind;
 
@@ -122,8 +122,8 @@
     /// of its account, or outside all pledges, or anywhere if the job may be
     /// preempted.
     pub(super) fn is_feasible(&mut self, job: &Job) -> bool {
-        let yields = self.may_yield(job);
-        let cache_key = (job.account, job.shape, yields);
+        let is_reclaimable = self.may_be_reclaimed(job);
+        let cache_key = (job.account, job.shape, is_reclaimable);
         if let Some(&feasible) = self.feasible.get(&cache_key) {
             return feasible;
         }
@@ -131,16 +131,16 @@
             .pledges
             .iter()
             .any(|pledge| pledge.account == job.account && job.shape.fits_within(&pledge.shape));
-        let usable = |worker: &Worker| match yields {
+        let usable = |worker: &Worker| match is_reclaimable {
             true => worker.all,
             false => worker.all & !worker.pledged,
         };
         let feasible = in_pledge
             || region::find(
                 &self.fleet,
-                &self.fleet.index_of(usable),
+                &self.fleet.build_index(usable),
                 &job.shape,
-                End::First,
+                PackingEnd::First,
             )
             .is_some();
         self.feasible.insert(cache_key, feasible);
@@ -164,7 +164,7 @@
         let capacity: u64 = self
             .fleet
             .workers()
-            .filter(|(_, worker)| worker.takes_work())
+            .filter(|(_, worker)| worker.accepts_jobs())
             .map(|(_, worker)| u64::from(worker.all.count_ones()))
             .sum();
         let wait_ms = work_ahead / capacity.max(1);
@@ -178,14 +178,14 @@
     /// was preempted as often as its class allows: it waits for accelerators
     /// outside the guarantees of other accounts, so that it is not delayed
     /// without bound.
-    pub(super) fn may_yield(&self, job: &Job) -> bool {
+    pub(super) fn may_be_reclaimed(&self, job: &Job) -> bool {
         let class = self.class(job.class);
         class.reclaimable && job.submission.idempotent && job.preemptions < class.max_preemptions
     }
 
     /// Returns whether the job must start soon and may not be delayed for others:
     /// its class is urgent, or its class can reclaim and its latest start is close.
-    pub(super) fn is_pressed(&self, job: &Job) -> bool {
+    pub(super) fn is_time_critical(&self, job: &Job) -> bool {
         let class = self.class(job.class);
         let notice_ms = (class.completion_ms / START_NOTICE_DIVISOR).max(MIN_START_NOTICE_MS);
         class.urgent || class.reclaims && job.latest_start_ms <= self.now_ms + notice_ms
@@ -196,7 +196,7 @@
             account: job.account,
             class: job.class,
             shape: job.shape,
-            yields: self.may_yield(job),
+            is_reclaimable: self.may_be_reclaimed(job),
         }
     }
 
--- a/src/core/backfill.rs
+++ b/src/core/backfill.rs
@@ -12,11 +12,11 @@
 //! start.
 
 use super::{
+    CapacityView,
     Cell,
     Job,
     JobKey,
     JobState,
-    View,
     Worker,
     WorkerKey,
     placement::Plan,
@@ -43,7 +43,7 @@
 
 /// A waiting gang and the workers reserved for it.
 #[derive(Clone, Debug)]
-pub(super) struct KeptGang {
+pub(super) struct BackfillReservation {
     pub job: JobKey,
     pub workers: Vec<WorkerKey>,
     /// When all the workers are expected to be free.
@@ -55,37 +55,40 @@
 impl Cell {
     /// Reserves workers for a gang that could not be placed, or places it at once
     /// if moving smaller jobs out of its way is worth the cost.
-    pub(super) fn keep_for(&mut self, key: JobKey) {
+    pub(super) fn reserve_workers_for(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let large = job.shape.workers > 1 && job.keep_after_ms <= self.now_ms;
-        let has_reservation = self.kept.iter().any(|reservation| reservation.job == key);
+        let large = job.shape.workers > 1 && job.reserve_after_ms <= self.now_ms;
+        let has_reservation = self
+            .backfill_reservations
+            .iter()
+            .any(|reservation| reservation.job == key);
         if !large
             || has_reservation
-            || self.kept.len() >= self.limits.kept_gangs
+            || self.backfill_reservations.len() >= self.limits.max_reservations
             || self.over_quota(job)
         {
             return;
         }
         let earliest = self.earliest_region(job);
-        let keep_after_ms = self.now_ms + RESERVATION_RETRY_MS;
+        let reserve_after_ms = self.now_ms + RESERVATION_RETRY_MS;
         let ready_ms = earliest.as_ref().map(|(_, ready_ms)| *ready_ms);
         if let Some(plan) = self.consolidating_plan(job, ready_ms) {
             return self.place(key, plan);
         }
         if let Some(job) = self.jobs.get_mut(key) {
-            job.keep_after_ms = keep_after_ms;
+            job.reserve_after_ms = reserve_after_ms;
         }
         let Some((workers, ready_ms)) = earliest else {
             return;
         };
         let reserved_workers: usize = self
-            .kept
+            .backfill_reservations
             .iter()
             .map(|reservation| reservation.workers.len())
             .sum();
-        if !self.kept.is_empty()
+        if !self.backfill_reservations.is_empty()
             && (reserved_workers + workers.len()) * RESERVED_SHARE_DIVISOR > self.fleet.len()
         {
             return;
@@ -94,7 +97,7 @@
             self.fleet
                 .update(worker, |worker| worker.reserved_for = Some(key));
         }
-        self.kept.push(KeptGang {
+        self.backfill_reservations.push(BackfillReservation {
             job: key,
             workers,
             ready_ms,
@@ -104,7 +107,7 @@
 
     /// The region for `job` that is expected to be free earliest, and when.
     fn earliest_region(&self, job: &Job) -> Option<(Vec<WorkerKey>, u64)> {
-        let is_reclaimable = self.may_yield(job);
+        let is_reclaimable = self.may_be_reclaimed(job);
         let per_worker = usize::from(job.shape.accelerators_per_worker);
         let mut free_times: Vec<u64> = Vec::new();
         let ready_times: Vec<Option<u64>> = self
@@ -155,7 +158,7 @@
             &self.fleet,
             &index,
             &job.shape,
-            region::End::of(self.may_yield(job)),
+            region::PackingEnd::of(self.may_be_reclaimed(job)),
         )
     }
 
@@ -170,8 +173,8 @@
         match job.state {
             JobState::Stopping(_) => self.now_ms + self.class(job.class).grace_ms,
             JobState::Running => {
-                let end_ms = job.running_ms + self.remaining_ms(job);
-                let ran_ms = self.now_ms.saturating_sub(job.running_ms);
+                let end_ms = job.run_started_ms + self.remaining_ms(job);
+                let ran_ms = self.now_ms.saturating_sub(job.run_started_ms);
                 end_ms.max(self.now_ms + ran_ms / OVERRUN_DIVISOR * u64::from(end_ms < self.now_ms))
             }
             _ => self.now_ms + self.remaining_ms(job),
@@ -184,18 +187,18 @@
         if job.shape.workers != 1 {
             return None;
         }
-        let view = View::free_for(self.may_yield(job));
+        let view = CapacityView::free_for(self.may_be_reclaimed(job));
         let end_ms = self.now_ms + self.remaining_ms(job);
         // A job that is about to miss its deadline may also delay a gang that can
         // still start in time after it.
-        let time_critical = self.is_pressed(job);
+        let time_critical = self.is_time_critical(job);
         let has_slack = |gang: JobKey| {
             let gang = self.jobs.get(gang);
             gang.is_some_and(|gang| gang.latest_start_ms > end_ms)
         };
         let per_worker = job.shape.accelerators_per_worker;
         let worker = self
-            .kept
+            .backfill_reservations
             .iter()
             .filter(|reservation| {
                 (end_ms <= reservation.ready_ms || time_critical && has_slack(reservation.job))
@@ -210,23 +213,23 @@
     }
 
     /// Places the gangs whose reserved workers have become free.
-    pub(super) fn place_kept(&mut self) {
+    pub(super) fn place_reserved(&mut self) {
         let waiting: Vec<JobKey> = self
-            .kept
+            .backfill_reservations
             .iter()
             .map(|reservation| reservation.job)
             .collect();
         for key in waiting {
-            let Some(job) = self.jobs.get(key).filter(|job| job.waits()) else {
-                self.release_kept(key);
+            let Some(job) = self.jobs.get(key).filter(|job| job.is_waiting()) else {
+                self.release_reservation(key);
                 continue;
             };
-            let view = View::free_for(self.may_yield(job));
+            let view = CapacityView::free_for(self.may_be_reclaimed(job));
             let usable = |worker: &Worker| match worker.reserved_for == Some(key) {
                 true => view.mask(worker),
                 false => 0,
             };
-            let free = self.index_of_reserved(key, usable);
+            let free = self.build_index_of_reserved(key, usable);
             let plan = plan_from_index(&self.fleet, &free, job, usable);
             if let Some(plan) = plan.filter(|_| !self.over_quota(job)) {
                 self.place(key, plan);
@@ -235,14 +238,14 @@
     }
 
     /// An index of the usable accelerators on the workers reserved for `key`.
-    fn index_of_reserved(
+    fn build_index_of_reserved(
         &self,
         key: JobKey,
         usable: impl Fn(&Worker) -> AcceleratorMask,
     ) -> super::Index {
         let mut index = super::Index::with_bounds(self.fleet.len(), self.fleet.racks().len());
         let reservations = self
-            .kept
+            .backfill_reservations
             .iter()
             .filter(|reservation| reservation.job == key);
         for &at in reservations.flat_map(|reservation| &reservation.workers) {
@@ -253,15 +256,15 @@
     }
 
     /// Releases the workers reserved for a gang, so that every job can use them.
-    pub(super) fn release_kept(&mut self, key: JobKey) {
+    pub(super) fn release_reservation(&mut self, key: JobKey) {
         let Some(at) = self
-            .kept
+            .backfill_reservations
             .iter()
             .position(|reservation| reservation.job == key)
         else {
             return;
         };
-        for worker in self.kept.swap_remove(at).workers {
+        for worker in self.backfill_reservations.swap_remove(at).workers {
             self.fleet
                 .update(worker, |worker| worker.reserved_for = None);
         }
@@ -271,21 +274,21 @@
 
     /// Releases reservations that did not become free as expected or that contain
     /// a worker that no longer accepts jobs.
-    pub(super) fn review_kept(&mut self) {
+    pub(super) fn review_reservations(&mut self) {
         let stale: Vec<JobKey> = self
-            .kept
+            .backfill_reservations
             .iter()
             .filter(|reservation| {
                 reservation.review_ms <= self.now_ms
                     || reservation
                         .workers
                         .iter()
-                        .any(|&at| !self.fleet.worker(at).takes_work())
+                        .any(|&at| !self.fleet.worker(at).accepts_jobs())
             })
             .map(|reservation| reservation.job)
             .collect();
         for key in stale {
-            self.release_kept(key);
+            self.release_reservation(key);
         }
     }
 }
--- a/src/core/cell.rs
+++ b/src/core/cell.rs
@@ -19,7 +19,7 @@
     Submission,
     Worker,
     WorkerSpec,
-    backfill::KeptGang,
+    backfill::BackfillReservation,
     headroom::Headroom,
     queue::Queue, //
 };
@@ -51,7 +51,7 @@
     /// Length of the first quarantine of a worker.
     pub quarantine_ms: u64,
     /// Number of waiting gangs for which workers are reserved at a time.
-    pub kept_gangs: usize,
+    pub max_reservations: usize,
     /// Number of groups of waiting jobs that may fail to be placed before a pass
     /// ends.
     pub groups_per_pass: usize,
@@ -72,7 +72,7 @@
             retention_ms: 24 * 3_600_000,
             quarantine_failures: 3,
             quarantine_ms: 60_000,
-            kept_gangs: 2,
+            max_reservations: 2,
             groups_per_pass: 64,
             placements_per_pass: 512,
             backoff_ms: 200,
@@ -126,14 +126,14 @@
     pub(super) by_idempotency_key: HashMap<(AccountKey, String), JobKey>,
     pub(super) queue: Queue,
     /// Waiting gangs with the workers reserved for them.
-    pub(super) kept: Vec<KeptGang>,
+    pub(super) backfill_reservations: Vec<BackfillReservation>,
     pub(super) estimator: Estimator,
     pub(super) timers: BTreeSet<(u64, JobKey, JobTimer)>,
     /// Cached results of `is_feasible` by account, shape and whether the job may be
     /// preempted.
     pub(super) feasible: HashMap<(AccountKey, Shape, bool), bool>,
-    /// Number of accelerators outside every pledge, on workers that take work.
-    pub(super) surplus_size: u32,
+    /// Number of accelerators outside every pledge, on workers that accept jobs.
+    pub(super) surplus_capacity: u32,
     pub(super) headroom: Headroom,
     pub(super) effects: Vec<Effect>,
     /// Whether a scheduling pass is due.
@@ -170,10 +170,10 @@
                 jobs,
             } => self.cancel(token, &account, &jobs),
             Command::Member(report) => self.handle_member_report(report),
-            Command::WorkerLeaving(name) => self.worker_leaving(&name),
-            Command::WorkerLost(name) => self.worker_lost(&name),
-            Command::WorkerRestarted(name) => self.worker_restarted(&name),
-            Command::WorkerReturned(name) => self.worker_returned(&name),
+            Command::WorkerLeaving(name) => self.handle_worker_leaving(&name),
+            Command::WorkerLost(name) => self.handle_worker_lost(&name),
+            Command::WorkerRestarted(name) => self.handle_worker_restarted(&name),
+            Command::WorkerReturned(name) => self.handle_worker_returned(&name),
             Command::Reinspect(name) => self.reinspect(&name),
             Command::Pause(paused) => self.paused = paused,
             Command::Tick => self.tick(),
@@ -244,7 +244,7 @@
         }
         self.fleet.reindex();
         for spec in workers.iter().filter(|spec| spec.leaving) {
-            self.worker_leaving(&spec.name);
+            self.handle_worker_leaving(&spec.name);
         }
         self.topology_changed();
         self.place_pledges();
@@ -255,7 +255,7 @@
     pub(super) fn topology_changed(&mut self) {
         self.feasible.clear();
         let in_surplus = |worker: &Worker| worker.usable_by(false).count_ones();
-        self.surplus_size = self.fleet.workers().map(|(_, w)| in_surplus(w)).sum();
+        self.surplus_capacity = self.fleet.workers().map(|(_, w)| in_surplus(w)).sum();
         self.queue.unblock_all();
         self.changed = true;
     }
@@ -274,8 +274,8 @@
             }
         }
         self.end_quarantines();
-        self.learn_headroom();
-        self.review_kept();
+        self.update_headroom();
+        self.review_reservations();
         self.place_pledges();
         self.queue.unblock_all();
         self.changed = true;
@@ -346,16 +346,16 @@
             attempt: 0,
             members: Vec::new(),
             pledge: None,
-            yields: false,
+            is_reclaimable: false,
             progress_ms: 0,
-            running_ms: 0,
+            run_started_ms: 0,
             first_running_ms: None,
             preemptions: 0,
             moves: 0,
             failures: 0,
             failed_workers: Vec::new(),
             earlier_may_have_begun: false,
-            keep_after_ms: 0,
+            reserve_after_ms: 0,
             cancelling: false,
             queue_group: None,
             waiting_work: 0,
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -34,7 +34,7 @@
     /// is expected to be free without them.
     pub(super) fn consolidating_plan(&self, job: &Job, ready_ms: Option<u64>) -> Option<Plan> {
         let per_worker = job.shape.accelerators_per_worker;
-        let is_reclaimable = self.may_yield(job);
+        let is_reclaimable = self.may_be_reclaimed(job);
         let available = |worker: &Worker| self.movable_mask(job, is_reclaimable, worker);
         let cost = |key: WorkerKey| -> Option<u64> {
             let worker = self.fleet.worker(key);
@@ -48,7 +48,7 @@
         let workers = region::find_cheapest(
             &self.fleet,
             &job.shape,
-            region::End::of(is_reclaimable),
+            region::PackingEnd::of(is_reclaimable),
             cost,
         )?;
         let members = workers
--- a/src/core/explain.rs
+++ b/src/core/explain.rs
@@ -6,7 +6,7 @@
     JobId,
     JobState,
     WorkerHealth,
-    backfill::KeptGang,
+    backfill::BackfillReservation,
     worker::bits, //
 };
 
@@ -128,8 +128,10 @@
     pub fn explain(&self, id: JobId) -> Option<JobReport> {
         let job = self.job(id)?;
         let placed = job.members.iter().map(|member| member.worker);
-        let kept = self.kept_gang(id).map(|kept| kept.workers.as_slice());
-        let kept = kept.unwrap_or_default().iter().copied();
+        let reserved = self
+            .backfill_reservation(id)
+            .map(|reservation| reservation.workers.as_slice());
+        let reserved = reserved.unwrap_or_default().iter().copied();
         Some(JobReport {
             job: public_name(&self.data_centre, id),
             account: job.submission.account.clone(),
@@ -144,15 +146,17 @@
             preemptions: job.preemptions,
             wait: self.wait_report(job),
             workers: placed
-                .chain(kept)
+                .chain(reserved)
                 .map(|worker| self.fleet.worker(worker).name.clone())
                 .collect(),
         })
     }
 
-    fn kept_gang(&self, id: JobId) -> Option<&KeptGang> {
+    fn backfill_reservation(&self, id: JobId) -> Option<&BackfillReservation> {
         let key = self.by_id.get(&id)?;
-        self.kept.iter().find(|kept| kept.job == *key)
+        self.backfill_reservations
+            .iter()
+            .find(|reservation| reservation.job == *key)
     }
 
     fn wait_report(&self, job: &Job) -> WaitReport {
@@ -168,7 +172,9 @@
                     other.state == JobState::Queued && other.latest_start_ms < job.latest_start_ms
                 };
                 let jobs_ahead = self.jobs.iter().filter(|(_, other)| ahead(other)).count();
-                let until_ms = self.kept_gang(job.id).map_or(0, |kept| kept.ready_ms);
+                let until_ms = self
+                    .backfill_reservation(job.id)
+                    .map_or(0, |reservation| reservation.ready_ms);
                 report("accelerators", until_ms, jobs_ahead as u32)
             }
             JobState::Backoff { until_ms } => report("backoff", until_ms, 0),
@@ -227,11 +233,11 @@
                 for bit in bits(mask) {
                     let holder = worker.holder(bit).and_then(|key| self.jobs.get(key));
                     let Some(job) = holder else {
-                        report.reclaimable += u32::from(worker.takes_work());
+                        report.reclaimable += u32::from(worker.accepts_jobs());
                         continue;
                     };
                     report.lent += u32::from(job.account != account);
-                    if job.yields {
+                    if job.is_reclaimable {
                         report.reclaimable += 1;
                         report.reclaim_ms = report.reclaim_ms.max(self.class(job.class).grace_ms);
                     }
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -13,7 +13,7 @@
 ///
 /// A worker that accepts no jobs has none in any view.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum View {
+pub enum CapacityView {
     /// Free and outside every pledge: usable by any job.
     Surplus,
     /// Free: usable by reclaimable jobs.
@@ -22,27 +22,31 @@
     Reclaimable,
 }
 
-impl View {
-    const ALL: [View; 3] = [View::Surplus, View::Free, View::Reclaimable];
+impl CapacityView {
+    const ALL: [CapacityView; 3] = [
+        CapacityView::Surplus,
+        CapacityView::Free,
+        CapacityView::Reclaimable,
+    ];
 
     /// The view of the free accelerators that a job may use, by whether it is
     /// reclaimable.
     pub fn free_for(is_reclaimable: bool) -> Self {
         match is_reclaimable {
-            true => View::Free,
-            false => View::Surplus,
+            true => CapacityView::Free,
+            false => CapacityView::Surplus,
         }
     }
 
     /// The accelerators of `worker` that are in the view.
     pub fn mask(self, worker: &Worker) -> AcceleratorMask {
-        if !worker.takes_work() {
+        if !worker.accepts_jobs() {
             return 0;
         }
         match self {
-            View::Surplus => worker.free & !worker.pledged,
-            View::Free => worker.free,
-            View::Reclaimable => {
+            CapacityView::Surplus => worker.free & !worker.pledged,
+            CapacityView::Free => worker.free,
+            CapacityView::Reclaimable => {
                 (worker.free | worker.reclaimable & !worker.claimed) & !worker.pledged
             }
         }
@@ -109,7 +113,7 @@
 
     fn update_indexes(&mut self, key: WorkerKey) {
         let worker = &self.workers[key.index()];
-        for view in View::ALL {
+        for view in CapacityView::ALL {
             // A worker that is reserved for a waiting gang counts nothing in the
             // indexes. That gang and the jobs that backfill find it through the
             // reservation.
@@ -145,18 +149,18 @@
     }
 
     /// The accelerators of worker `key` in `view`, also if the worker is reserved.
-    pub fn mask(&self, view: View, key: WorkerKey) -> AcceleratorMask {
+    pub fn mask(&self, view: CapacityView, key: WorkerKey) -> AcceleratorMask {
         view.mask(self.worker(key))
     }
 
     /// The index of `view`, in which reserved workers count nothing.
-    pub fn view_index(&self, view: View) -> &Index {
+    pub fn view_index(&self, view: CapacityView) -> &Index {
         &self.indexes[view as usize]
     }
 
     /// Builds an index for one search, of the accelerators that `mask` returns for
     /// each worker.
-    pub fn index_of(&self, mask: impl Fn(&Worker) -> AcceleratorMask) -> Index {
+    pub fn build_index(&self, mask: impl Fn(&Worker) -> AcceleratorMask) -> Index {
         let mut index = Index::with_bounds(self.workers.len(), self.racks.len());
         for (key, worker) in self.workers() {
             index.set(key, worker.rack, mask(worker).count_ones() as usize);
--- a/src/core/fragmentation.rs
+++ b/src/core/fragmentation.rs
@@ -8,9 +8,9 @@
 
 use super::{
     Adjacency,
+    CapacityView, //
     Cell,
     Shape,
-    View, //
 };
 use std::collections::HashMap;
 
@@ -93,7 +93,7 @@
     /// The number of free accelerators of each worker, by rack; 0 for a worker that
     /// accepts no jobs.
     pub fn free_by_rack(&self) -> Vec<Vec<u32>> {
-        let free = |key| self.fleet.mask(View::Free, key).count_ones();
+        let free = |key| self.fleet.mask(CapacityView::Free, key).count_ones();
         let racks = self.fleet.racks().iter();
         racks
             .map(|rack| rack.iter().map(|&key| free(key)).collect())
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -111,26 +111,26 @@
             MemberEvent::Finished(answer) => self.member_finished(key, worker, answer),
             MemberEvent::ReserveRefused => {
                 self.member_gone(key, worker, false);
-                self.after_loss(key, RetryReason::ReserveRefused);
+                self.handle_member_loss(key, RetryReason::ReserveRefused);
             }
             MemberEvent::StartRefused => {
-                self.blame(key, worker);
+                self.record_failure(key, worker);
                 self.member_gone(key, worker, false);
-                self.after_loss(key, RetryReason::StartRefused);
+                self.handle_member_loss(key, RetryReason::StartRefused);
             }
             MemberEvent::Failed => {
-                self.blame(key, worker);
+                self.record_failure(key, worker);
                 self.member_gone(key, worker, true);
-                self.after_loss(key, RetryReason::TaskFailed);
+                self.handle_member_loss(key, RetryReason::TaskFailed);
             }
             MemberEvent::Stopped { progress_ms } => self.member_stopped(key, worker, progress_ms),
             MemberEvent::NotBegun => {
                 self.member_gone(key, worker, false);
-                self.after_loss(key, RetryReason::FoundNotBegun);
+                self.handle_member_loss(key, RetryReason::FoundNotBegun);
             }
             MemberEvent::Unknown | MemberEvent::LostInRestart => {
                 self.member_gone(key, worker, true);
-                self.after_loss(key, RetryReason::WorkerLost);
+                self.handle_member_loss(key, RetryReason::WorkerLost);
             }
         }
     }
@@ -196,7 +196,7 @@
         if job.state != JobState::Running {
             job.state = JobState::Running;
             job.state_since_ms = now_ms;
-            job.running_ms = now_ms;
+            job.run_started_ms = now_ms;
             job.first_running_ms.get_or_insert(now_ms);
         }
         if job.all_members(MemberState::Finished) {
@@ -238,7 +238,7 @@
 
     fn end_served(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.get(key) {
-            let ran_ms = self.now_ms.saturating_sub(job.running_ms) + job.progress_ms;
+            let ran_ms = self.now_ms.saturating_sub(job.run_started_ms) + job.progress_ms;
             let declared_ms = job.submission.declared_run_ms;
             self.estimator
                 .learn(job.account, job.class, declared_ms, ran_ms);
@@ -251,12 +251,12 @@
             member.saved_ms = Some(progress_ms);
         }
         self.mark_member_gone(key, worker);
-        self.after_loss(key, RetryReason::TaskStopped);
+        self.handle_member_loss(key, RetryReason::TaskStopped);
     }
 
     /// Continues after the end of a member: a job that is stopping or recovering
     /// may now be done with that, any other loses its attempt.
-    pub(super) fn after_loss(&mut self, key: JobKey, reason: RetryReason) {
+    pub(super) fn handle_member_loss(&mut self, key: JobKey, reason: RetryReason) {
         match self.jobs.get(key).map(|job| job.state) {
             Some(JobState::Stopping(_)) => self.try_finish_stop(key),
             Some(JobState::Recovering) => self.try_finish_recovery(key),
@@ -298,7 +298,7 @@
         let held = std::mem::take(&mut job.members[index].held);
         let worker = job.members[index].worker;
         let (claimed, free) = self.fleet.update(worker, |worker| {
-            worker.unclaim(key);
+            worker.release_claims(key);
             let claimed = worker.release(held);
             (claimed, worker.free.count_ones() as u16)
         });
@@ -314,12 +314,12 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        let yields = job.yields;
+        let is_reclaimable = job.is_reclaimable;
         if let Some(member) = job.member_on(worker) {
             member.held |= mask;
         }
         self.fleet
-            .update(worker, |worker| worker.set_yielding(key, yields));
+            .update(worker, |worker| worker.set_reclaimable(key, is_reclaimable));
         self.add_usage(key, mask.count_ones());
         self.reserve_if_all_held(key);
     }
@@ -461,7 +461,7 @@
         job.failures += u32::from(counts_as_failure);
         let (failures, failed_worker_count) = (job.failures, job.failed_workers.len());
         if counts_as_failure && failed_worker_count >= self.limits.max_failed_workers {
-            self.exonerate_workers(key);
+            self.clear_failures_of_job(key);
             return self.end(key, OutcomeCode::UnableToRun);
         }
         if failures >= self.limits.max_failures {
@@ -487,7 +487,7 @@
         job.earlier_may_have_begun = job.may_ever_have_begun();
         job.members.clear();
         job.pledge = None;
-        job.yields = false;
+        job.is_reclaimable = false;
         job.answer = None;
         let change = RequeuedChange {
             id: job.id.0,
--- a/src/core/headroom.rs
+++ b/src/core/headroom.rs
@@ -5,9 +5,9 @@
 //! number follows from the recent number of accelerators held by urgent jobs.
 
 use super::{
+    CapacityView,
     Cell,
     Job,
-    View,
     WorkerKey,
     placement::Plan, //
 };
@@ -33,7 +33,7 @@
 
 impl Cell {
     /// Samples the urgent accelerators and updates the headroom.
-    pub(super) fn learn_headroom(&mut self) {
+    pub(super) fn update_headroom(&mut self) {
         let now = f64::from(self.headroom.urgent_accelerators);
         self.headroom.mean += LEARNING_RATE * (now - self.headroom.mean);
         // Arrivals are assumed to be independent, so their variance equals their mean.
@@ -41,7 +41,7 @@
         let both = self.weights.completion + self.weights.fragmentation;
         let emphasis = 2.0 * self.weights.completion / both.max(f64::EPSILON);
         let wanted = (emphasis * HEADROOM_DEVIATIONS * deviation).ceil();
-        let max_accelerators = (MAX_SHARE * f64::from(self.surplus_size)).floor();
+        let max_accelerators = (MAX_SHARE * f64::from(self.surplus_capacity)).floor();
         self.headroom.accelerators = wanted.min(max_accelerators) as u32;
     }
 
@@ -49,21 +49,21 @@
     /// headroom. Free accelerators of reserved workers count as free here, since
     /// urgent jobs may use them.
     pub(super) fn uses_headroom(&self, job: &Job, plan: &Plan) -> bool {
-        if self.headroom.accelerators == 0 || self.is_pressed(job) {
+        if self.headroom.accelerators == 0 || self.is_time_critical(job) {
             return false;
         }
-        let surplus_in = |key: WorkerKey| self.fleet.mask(View::Surplus, key).count_ones();
+        let surplus_in = |key: WorkerKey| self.fleet.mask(CapacityView::Surplus, key).count_ones();
         let taken: u32 = plan
             .members
             .iter()
-            .map(|&(key, mask)| (mask & self.fleet.mask(View::Surplus, key)).count_ones())
+            .map(|&(key, mask)| (mask & self.fleet.mask(CapacityView::Surplus, key)).count_ones())
             .sum();
         let reserved = self
-            .kept
+            .backfill_reservations
             .iter()
             .flat_map(|reservation| &reservation.workers);
         let reserved_free: u32 = reserved.map(|&key| surplus_in(key)).sum();
-        let free = self.fleet.view_index(View::Surplus).total() + reserved_free;
+        let free = self.fleet.view_index(CapacityView::Surplus).total() + reserved_free;
         taken > 0 && free < taken + self.headroom.accelerators
     }
 }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -19,7 +19,7 @@
 impl Cell {
     /// Records that job `key` failed on `worker`, and quarantines the worker if too
     /// many different jobs have failed there in a row.
-    pub(super) fn blame(&mut self, key: JobKey, worker: WorkerKey) {
+    pub(super) fn record_failure(&mut self, key: JobKey, worker: WorkerKey) {
         let failed_jobs = self.fleet.update(worker, |worker| {
             if !worker.failed_jobs.contains(&key) {
                 worker.failed_jobs.push(key);
@@ -39,7 +39,7 @@
     /// Quarantines a worker, for twice as long with each failure above the limit (up
     /// to 64 times), and removes its failures from the jobs that failed there.
     fn quarantine(&mut self, worker: WorkerKey) {
-        if !self.fleet.worker(worker).takes_work() {
+        if !self.fleet.worker(worker).accepts_jobs() {
             return;
         }
         let excess = self.fleet.worker(worker).failed_jobs.len() - self.limits.quarantine_failures;
@@ -61,7 +61,7 @@
 
     /// Removes the failures of a job from its workers. The failures of a job that
     /// cannot run anywhere say nothing about the workers.
-    pub(super) fn exonerate_workers(&mut self, key: JobKey) {
+    pub(super) fn clear_failures_of_job(&mut self, key: JobKey) {
         let workers = match self.jobs.get(key) {
             Some(job) => job.failed_workers.clone(),
             None => return,
@@ -106,7 +106,7 @@
     }
 
     /// Marks a worker as draining, unless it is lost.
-    pub(super) fn worker_leaving(&mut self, name: &str) {
+    pub(super) fn handle_worker_leaving(&mut self, name: &str) {
         let Some(worker) = self.fleet.find(name) else {
             return;
         };
@@ -117,7 +117,7 @@
 
     /// Marks the worker called `name`, whose lease has expired, as lost and ends
     /// every gang with a member on it.
-    pub(super) fn worker_lost(&mut self, name: &str) {
+    pub(super) fn handle_worker_lost(&mut self, name: &str) {
         let Some(worker) = self.fleet.find(name) else {
             return;
         };
@@ -127,7 +127,7 @@
 
     /// Ends every gang with a member on a worker that has restarted and lost its
     /// tasks. The worker remains usable.
-    pub(super) fn worker_restarted(&mut self, name: &str) {
+    pub(super) fn handle_worker_restarted(&mut self, name: &str) {
         if let Some(worker) = self.fleet.find(name) {
             self.end_members_on(worker);
             self.changed = true;
@@ -150,8 +150,8 @@
             // is placed again only if the worker accepts no more jobs.
             if state != Some(JobState::Claiming) {
                 self.remove_lost_member(key, worker);
-                self.after_loss(key, RetryReason::WorkerLost);
-            } else if !self.fleet.worker(worker).takes_work() {
+                self.handle_member_loss(key, RetryReason::WorkerLost);
+            } else if !self.fleet.worker(worker).accepts_jobs() {
                 self.fail_gang(key, RetryReason::WorkerLost);
             }
         }
@@ -170,7 +170,7 @@
     }
 
     /// Marks a lost or draining worker as healthy again.
-    pub(super) fn worker_returned(&mut self, name: &str) {
+    pub(super) fn handle_worker_returned(&mut self, name: &str) {
         if let Some(worker) = self.fleet.find(name) {
             let health = self.fleet.worker(worker).health;
             if matches!(health, WorkerHealth::Lost | WorkerHealth::Leaving) {
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -124,11 +124,11 @@
     /// The pledge of its own account in whose accelerators it runs.
     pub pledge: Option<PledgeKey>,
     /// Whether the latest attempt may be preempted.
-    pub yields: bool,
+    pub is_reclaimable: bool,
     /// Run time covered by checkpoints.
     pub progress_ms: u64,
     /// When the latest attempt started to run.
-    pub running_ms: u64,
+    pub run_started_ms: u64,
     /// When the job first ran.
     pub first_running_ms: Option<u64>,
     /// How often it was preempted.
@@ -143,7 +143,7 @@
     /// Whether an earlier attempt may have begun.
     pub earlier_may_have_begun: bool,
     /// Earliest time of the next search for workers to reserve for it.
-    pub keep_after_ms: u64,
+    pub reserve_after_ms: u64,
     /// Whether its account has cancelled it.
     pub cancelling: bool,
     /// The group in which it waits in the queue.
@@ -168,7 +168,7 @@
     }
 
     /// Returns whether the job waits in the queue or in a backoff.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         matches!(self.state, JobState::Queued | JobState::Backoff { .. })
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -67,8 +67,8 @@
     read_public_name, //
 };
 pub use fleet::{
+    CapacityView, //
     Fleet,
-    View, //
 };
 pub use fragmentation::fragmentation_of;
 pub use index::Index;
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -7,6 +7,7 @@
 //! guaranteed shape.
 
 use super::{
+    CapacityView,
     Cell,
     Fleet,
     Index,
@@ -14,11 +15,10 @@
     JobKey,
     PledgeKey,
     StopKind,
-    View,
     Worker,
     WorkerKey,
     region,
-    region::End,
+    region::PackingEnd,
     worker::AcceleratorMask,
     worker::bits,
     worker::lowest_bits, //
@@ -75,9 +75,9 @@
             true => self.pledge_plan(job, false),
             false => None,
         };
-        let surplus = self.free_plan(job, View::Surplus);
-        let lent = match self.may_yield(job) {
-            true => self.free_plan(job, View::Free),
+        let surplus = self.free_plan(job, CapacityView::Surplus);
+        let lent = match self.may_be_reclaimed(job) {
+            true => self.free_plan(job, CapacityView::Free),
             false => None,
         };
         [own_pledge, surplus, lent]
@@ -89,9 +89,9 @@
     }
 
     /// A placement on the free accelerators in `view`.
-    fn free_plan(&self, job: &Job, view: View) -> Option<Plan> {
+    fn free_plan(&self, job: &Job, view: CapacityView) -> Option<Plan> {
         let index = self.fleet.view_index(view);
-        let end = End::of(self.may_yield(job));
+        let end = PackingEnd::of(self.may_be_reclaimed(job));
         let workers = region::find(&self.fleet, index, &job.shape, end)?;
         let per_worker = job.shape.accelerators_per_worker;
         let members = workers
@@ -179,7 +179,7 @@
     job: &Job,
     usable: impl Fn(&Worker) -> AcceleratorMask,
 ) -> Option<Plan> {
-    let workers = region::find(fleet, index, &job.shape, End::First)?;
+    let workers = region::find(fleet, index, &job.shape, PackingEnd::First)?;
     let members = workers
         .into_iter()
         .map(|key| {
--- a/src/core/pledge.rs
+++ b/src/core/pledge.rs
@@ -96,8 +96,8 @@
     shape: &Shape,
     usable: impl Fn(&Worker) -> AcceleratorMask,
 ) -> Option<Vec<(WorkerKey, AcceleratorMask)>> {
-    let index = fleet.index_of(&usable);
-    let workers = region::find(fleet, &index, shape, region::End::Last)?;
+    let index = fleet.build_index(&usable);
+    let workers = region::find(fleet, &index, shape, region::PackingEnd::Last)?;
     Some(
         workers
             .into_iter()
@@ -254,7 +254,7 @@
             let is_met = !pledge.members.is_empty()
                 && pledge.members.iter().all(|&(key, mask)| {
                     let worker = self.fleet.worker(key);
-                    worker.takes_work() && self.obstacles(worker, pledge.account) & mask == 0
+                    worker.accepts_jobs() && self.obstacles(worker, pledge.account) & mask == 0
                 });
             if is_met {
                 continue;
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -27,7 +27,7 @@
     /// Their shape.
     pub shape: Shape,
     /// Whether they may be preempted, and so may use lent accelerators.
-    pub yields: bool,
+    pub is_reclaimable: bool,
 }
 
 /// Position in the order of a pass: latest start of the first job, group index.
--- a/src/core/reclaim.rs
+++ b/src/core/reclaim.rs
@@ -6,6 +6,7 @@
 
 use super::{
     AccountKey,
+    CapacityView,
     Cell,
     ClassKey,
     Job,
@@ -14,7 +15,6 @@
     PledgeKey,
     Shape,
     StopKind,
-    View,
     Worker,
     WorkerKey,
     placement::Plan,
@@ -49,7 +49,7 @@
             true => self.pledge_plan(job, true),
             false => None,
         };
-        own.or_else(|| match self.is_pressed(job) {
+        own.or_else(|| match self.is_time_critical(job) {
             true => self.surplus_preemption_plan(job),
             false => None,
         })
@@ -72,19 +72,21 @@
 
     /// A placement for a single-worker job on accelerators that a running
     /// reclaimable job of the same account holds outside all guarantees.
-    pub(super) fn own_work_plan(&self, job: &Job) -> Option<Plan> {
+    pub(super) fn own_jobs_plan(&self, job: &Job) -> Option<Plan> {
         if job.shape.workers != 1 {
             return None;
         }
         let count = job.shape.accelerators_per_worker;
         let own = self.jobs.iter().filter(|(_, holder)| {
-            holder.account == job.account && holder.yields && holder.state == JobState::Running
+            holder.account == job.account
+                && holder.is_reclaimable
+                && holder.state == JobState::Running
         });
         own.filter_map(|(key, holder)| {
             let (worker, mask) = holder.members.iter().find_map(|member| {
                 let worker = self.fleet.worker(member.worker);
                 let usable = member.held & !worker.claimed & !worker.pledged;
-                let enough = worker.takes_work() && usable.count_ones() >= u32::from(count);
+                let enough = worker.accepts_jobs() && usable.count_ones() >= u32::from(count);
                 enough.then(|| (member.worker, lowest_bits(usable, count)))
             })?;
             Some((self.preemption_cost(holder), key, worker, mask))
@@ -103,12 +105,12 @@
     /// free.
     fn has_waiting_job_of_shape(&self, account: AccountKey, shape: Shape) -> bool {
         (0..self.classes.len() as u8).any(|class| {
-            [false, true].into_iter().any(|yields| {
+            [false, true].into_iter().any(|is_reclaimable| {
                 self.queue.has_group(&GroupKey {
                     account,
                     class: ClassKey(class),
                     shape,
-                    yields,
+                    is_reclaimable,
                 })
             })
         })
@@ -121,7 +123,7 @@
             .iter()
             .filter_map(|&(key, pledged)| {
                 let worker = self.fleet.worker(key);
-                if !worker.takes_work() {
+                if !worker.accepts_jobs() {
                     return None;
                 }
                 let mask = self.cheapest_accelerators(job, worker, pledged, reclaiming)?;
@@ -212,16 +214,16 @@
 
     /// A placement outside all guarantees that preempts reclaimable jobs.
     fn surplus_preemption_plan(&self, job: &Job) -> Option<Plan> {
-        let index = self.fleet.view_index(View::Reclaimable);
+        let index = self.fleet.view_index(CapacityView::Reclaimable);
         let workers = match job.shape.workers {
             1 => vec![self.cheapest_worker(job)?],
-            _ => region::find(&self.fleet, index, &job.shape, region::End::Last)?,
+            _ => region::find(&self.fleet, index, &job.shape, region::PackingEnd::Last)?,
         };
         let members = workers
             .into_iter()
             .map(|key| {
                 let worker = self.fleet.worker(key);
-                let usable = View::Reclaimable.mask(worker);
+                let usable = CapacityView::Reclaimable.mask(worker);
                 let mask = self.cheapest_accelerators(job, worker, usable, true)?;
                 Some((key, mask))
             })
@@ -232,7 +234,7 @@
     /// The worker on which a single-worker job costs the least to place, victims
     /// included.
     fn cheapest_worker(&self, job: &Job) -> Option<WorkerKey> {
-        let index = self.fleet.view_index(View::Reclaimable);
+        let index = self.fleet.view_index(CapacityView::Reclaimable);
         let counts =
             usize::from(job.shape.accelerators_per_worker)..=super::MAX_ACCELERATORS_PER_WORKER;
         counts
@@ -240,7 +242,7 @@
             .take(COMPARED_WORKERS)
             .filter_map(|key| {
                 let worker = self.fleet.worker(key);
-                let usable = View::Reclaimable.mask(worker);
+                let usable = CapacityView::Reclaimable.mask(worker);
                 let mask = self.cheapest_accelerators(job, worker, usable, true)?;
                 let victims = worker.holders_of(mask);
                 let victim_jobs = victims.iter().filter_map(|&key| self.jobs.get(key));
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -73,7 +73,7 @@
                 self.cancel_job(key);
             }
         } else {
-            job.running_ms = record.starting_ms;
+            job.run_started_ms = record.starting_ms;
             let key = self.insert_job(job);
             self.inspect_members(key, &record.members);
         }
@@ -111,7 +111,7 @@
                     let accelerators = super::MAX_ACCELERATORS_PER_WORKER as u16;
                     let worker = self.fleet.add(&record.worker, "unlisted", accelerators);
                     self.fleet.reindex();
-                    self.worker_leaving(&record.worker);
+                    self.handle_worker_leaving(&record.worker);
                     worker
                 }
             };
@@ -195,7 +195,7 @@
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let yields = self.may_yield(job);
+        let is_reclaimable = self.may_be_reclaimed(job);
         let own_pledge = self.pledges().find_map(|(pledge_key, pledge)| {
             let is_inside = pledge.account == job.account
                 && job.members.iter().all(|member| {
@@ -204,11 +204,11 @@
                 });
             is_inside.then_some(pledge_key)
         });
-        let started_ms = job.running_ms;
+        let started_ms = job.run_started_ms;
         let workers: Vec<_> = job.members.iter().map(|member| member.worker).collect();
         for worker in workers {
             self.fleet
-                .update(worker, |worker| worker.set_yielding(key, yields));
+                .update(worker, |worker| worker.set_reclaimable(key, is_reclaimable));
         }
         let now_ms = self.now_ms;
         let Some(job) = self.jobs.get_mut(key) else {
@@ -217,7 +217,7 @@
         job.state = JobState::Running;
         job.state_since_ms = now_ms;
         job.first_running_ms = Some(started_ms);
-        job.yields = yields;
+        job.is_reclaimable = is_reclaimable;
         if own_pledge.is_some() && job.pledge.is_none() {
             let held: u32 = job.members.iter().map(|m| m.held.count_ones()).sum();
             self.accounts[job.account.index()].surplus_accelerators -= held;
--- a/src/core/region.rs
+++ b/src/core/region.rs
@@ -20,14 +20,14 @@
 /// jobs from the last rack down, next to the pledges. Jobs that cannot be moved
 /// are therefore not scattered among those that can.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum PackingEnd {
     /// From the first rack on.
     First,
     /// From the last rack down.
     Last,
 }
 
-impl End {
+impl PackingEnd {
     /// The end for reclaimable jobs or for all others.
     pub fn of(is_reclaimable: bool) -> Self {
         match is_reclaimable {
@@ -47,7 +47,12 @@
 
 /// Finds workers for `shape` by the counts of `index`, so that as little free
 /// capacity as possible is broken up. Returns `None` if the shape does not fit.
-pub fn find(fleet: &Fleet, index: &Index, shape: &Shape, end: End) -> Option<Vec<WorkerKey>> {
+pub fn find(
+    fleet: &Fleet,
+    index: &Index,
+    shape: &Shape,
+    end: PackingEnd,
+) -> Option<Vec<WorkerKey>> {
     let per_worker = usize::from(shape.accelerators_per_worker);
     if per_worker == 0 || per_worker > MAX_ACCELERATORS_PER_WORKER {
         return None;
@@ -65,11 +70,16 @@
 /// The best worker for a single-worker shape. Prefers a worker that is partly in
 /// use to a wholly free one, then the rack with the fewest wholly usable workers,
 /// so that free racks stay free, then the fewest usable accelerators.
-fn best_worker(fleet: &Fleet, index: &Index, per_worker: usize, end: End) -> Option<WorkerKey> {
+fn best_worker(
+    fleet: &Fleet,
+    index: &Index,
+    per_worker: usize,
+    end: PackingEnd,
+) -> Option<WorkerKey> {
     (per_worker..=MAX_ACCELERATORS_PER_WORKER)
         .flat_map(|count| {
-            let up = (end == End::First).then(|| index.with_count(count));
-            let down = (end == End::Last).then(|| index.with_count_descending(count));
+            let up = (end == PackingEnd::First).then(|| index.with_count(count));
+            let down = (end == PackingEnd::Last).then(|| index.with_count_descending(count));
             let workers = up.into_iter().flatten().chain(down.into_iter().flatten());
             workers.take(COMPARED_WORKERS)
         })
@@ -96,7 +106,12 @@
 }
 
 /// Workers of the rack that has enough of them and the fewest to spare.
-fn tightest_rack(fleet: &Fleet, index: &Index, shape: &Shape, end: End) -> Option<Vec<WorkerKey>> {
+fn tightest_rack(
+    fleet: &Fleet,
+    index: &Index,
+    shape: &Shape,
+    end: PackingEnd,
+) -> Option<Vec<WorkerKey>> {
     let workers_by_rack = index.workers_by_rack(shape.accelerators_per_worker);
     let (rack, _) = workers_by_rack
         .iter()
@@ -112,7 +127,7 @@
     fleet: &Fleet,
     index: &Index,
     shape: &Shape,
-    packing_end: End,
+    packing_end: PackingEnd,
 ) -> Option<Vec<WorkerKey>> {
     let workers_by_rack = index.workers_by_rack(shape.accelerators_per_worker);
     let wanted = u32::from(shape.workers);
@@ -147,7 +162,7 @@
 pub fn find_cheapest(
     fleet: &Fleet,
     shape: &Shape,
-    packing_end: End,
+    packing_end: PackingEnd,
     cost: impl Fn(WorkerKey) -> Option<u64>,
 ) -> Option<Vec<WorkerKey>> {
     let wanted = usize::from(shape.workers);
--- a/src/core/schedule.rs
+++ b/src/core/schedule.rs
@@ -23,7 +23,7 @@
 impl Cell {
     /// Runs a pass: places the jobs that can be placed, by latest start.
     pub(super) fn schedule(&mut self) {
-        self.place_kept();
+        self.place_reserved();
         // A pass is bounded in the groups that it tries and in the jobs that it
         // places; the rest follows with the next command.
         let mut budget = self.limits.groups_per_pass;
@@ -55,7 +55,7 @@
             if !placed {
                 *budget -= 1;
                 self.queue.block(position);
-                self.keep_for(key);
+                self.reserve_workers_for(key);
             }
         }
     }
@@ -72,7 +72,7 @@
             .filter(competing)
             .map(|account| account.declaration.share.max(1))
             .sum();
-        f64::from(self.surplus_size) / f64::from(shares.max(1))
+        f64::from(self.surplus_capacity) / f64::from(shares.max(1))
     }
 
     fn within_share(&self, job: &Job, share_unit: f64) -> bool {
@@ -106,7 +106,7 @@
             return false;
         };
         let urgent = self.class(job.class).urgent;
-        let Some(plan) = urgent.then(|| self.own_work_plan(job)).flatten() else {
+        let Some(plan) = urgent.then(|| self.own_jobs_plan(job)).flatten() else {
             return false;
         };
         self.place(key, plan);
@@ -124,18 +124,18 @@
     /// Assigns a waiting job to the place of `plan` and stops the plan's victims.
     pub(super) fn place(&mut self, key: JobKey, plan: Plan) {
         self.dequeue(key);
-        self.release_kept(key);
+        self.release_reservation(key);
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         // Work in a pledge of its own account is never preempted.
-        let yields = plan.pledge.is_none() && self.may_yield(job);
+        let is_reclaimable = plan.pledge.is_none() && self.may_be_reclaimed(job);
         let mut members = Vec::with_capacity(plan.members.len());
         let mut taken = 0;
         for &(worker, mask) in &plan.members {
             let held = self.fleet.update(worker, |worker| {
                 let held = mask & worker.free;
-                worker.hold(held, key, yields);
+                worker.hold(held, key, is_reclaimable);
                 worker.claim(mask & !held, key);
                 held
             });
@@ -153,7 +153,7 @@
         if let Some(job) = self.jobs.get_mut(key) {
             job.members = members;
             job.pledge = plan.pledge;
-            job.yields = yields;
+            job.is_reclaimable = is_reclaimable;
             job.state = JobState::Claiming;
             job.state_since_ms = now_ms;
         }
--- a/src/core/worker.rs
+++ b/src/core/worker.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether new jobs may be placed here.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_jobs(&self) -> bool {
         self.health == WorkerHealth::Healthy
     }
 
@@ -103,7 +103,7 @@
     /// reclaimable, otherwise those outside every pledge. Empty while the worker
     /// accepts no jobs.
     pub fn usable_by(&self, is_reclaimable: bool) -> AcceleratorMask {
-        match (self.takes_work(), is_reclaimable) {
+        match (self.accepts_jobs(), is_reclaimable) {
             (false, _) => 0,
             (true, true) => self.all,
             (true, false) => self.all & !self.pledged,
@@ -185,7 +185,7 @@
     }
 
     /// Drops all claims of `job`.
-    pub(super) fn unclaim(&mut self, job: JobKey) {
+    pub(super) fn release_claims(&mut self, job: JobKey) {
         for bit in bits(self.claimed) {
             if self.claims[bit] == Some(job) {
                 self.claims[bit] = None;
@@ -195,7 +195,7 @@
     }
 
     /// Marks the accelerators that `job` holds as reclaimable or not.
-    pub(super) fn set_yielding(&mut self, job: JobKey, is_reclaimable: bool) {
+    pub(super) fn set_reclaimable(&mut self, job: JobKey, is_reclaimable: bool) {
         let held = self.held_by(job);
         if is_reclaimable {
             self.reclaimable |= held;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -204,7 +204,7 @@
                 let holder = worker.holder(bit);
                 let job =
                     holder.and_then(|holder| cell.jobs().find(|(job_key, _)| *job_key == holder));
-                job.is_none_or(|(_, job)| job.yields || job.account == pledge.account)
+                job.is_none_or(|(_, job)| job.is_reclaimable || job.account == pledge.account)
             };
             let all = (0..16).filter(|bit| mask >> bit & 1 == 1).all(is_available);
             assert!(
@@ -480,7 +480,7 @@
             .cell
             .fleet()
             .workers()
-            .all(|(_, worker)| worker.takes_work())
+            .all(|(_, worker)| worker.accepts_jobs())
     );
 }
 
--- a/tests/support/mixes.rs
+++ b/tests/support/mixes.rs
@@ -389,7 +389,8 @@
 }
 
 /// Adds what distinguishes the mix called `name`: bursts, wrong declared run times,
-/// bad workers and jobs that always fail, mass cancellations, or jobs that fill every guarantee.
+/// bad workers and jobs that always fail, mass cancellations, or jobs that fill every
+/// guarantee.
 fn add_special_events(
     mix: &mut Mix,
     generator: &mut Generator,
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -873,7 +873,9 @@
                     .find(|(id, _)| *id == holder)
                     .map(|(_, job)| job);
                 let is_allowed = job.is_some_and(|job| {
-                    job.yields || job.account == pledge.account || job.state == JobState::Recovering
+                    job.is_reclaimable
+                        || job.account == pledge.account
+                        || job.state == JobState::Recovering
                 });
                 if !is_allowed {
                     return Some(format!(
