--- a/src/cluster/actions.rs
+++ b/src/cluster/actions.rs
@@ -90,7 +90,7 @@
                 actix_rt::spawn(list_machines(node.clone(), epoch));
             }
             Action::BeginUpkeep { wave, machine } => {
-                actix_rt::spawn(begin_upkeep(node.clone(), epoch, wave, machine));
+                actix_rt::spawn(order_upkeep(node.clone(), epoch, wave, machine));
             }
             Action::StoreWaveState { wave, completed } => waves.push((wave, completed)),
             Action::StoreEmptiedDataCentre {
@@ -231,9 +231,9 @@
     node.control.send_input(epoch, input);
 }
 
-async fn begin_upkeep(node: Rc<Node>, epoch: u64, wave: u64, machine: String) {
+async fn order_upkeep(node: Rc<Node>, epoch: u64, wave: u64, machine: String) {
     let outcome = match &node.machines {
-        Some(machines) => machines.begin_upkeep(wave, &machine, epoch).await,
+        Some(machines) => machines.order_upkeep(wave, &machine, epoch).await,
         None => UpkeepOutcome::Limited,
     };
     let input = Input::UpkeepResult {
--- a/src/cluster/client_requests.rs
+++ b/src/cluster/client_requests.rs
@@ -13,11 +13,11 @@
 };
 use crate::platform::{
     READINESS_PATH,
-    deadline_header,
+    account_key, //
+    client_timeout_ms,
     decode_job,
     encode_pending,
     encode_state,
-    key_header, //
 };
 use crate::scheduler::{
     AccountDeclaration,
@@ -258,13 +258,13 @@
     let host = host.split(':').next().unwrap_or_default();
     let queue = configuration.queue_of(host, request.path());
     let queue = queue.ok_or(Refusal::NoSuchQueue)?.clone();
-    let account = key_header(headers)
+    let account = account_key(headers)
         .and_then(|key| configuration.account_of(key))
         .cloned();
     if account.is_none() && !queue.public {
         return Err(Refusal::UnknownKey);
     }
-    let deadline_ms = deadline_header(headers).unwrap_or(DEFAULT_DEADLINE_MS);
+    let deadline_ms = client_timeout_ms(headers).unwrap_or(DEFAULT_DEADLINE_MS);
     Ok(ParsedRequest {
         name: request.path()[queue.path_prefix.len()..].to_owned(),
         terms: queue.terms_in(configuration.version),
--- a/src/cluster/daemon.rs
+++ b/src/cluster/daemon.rs
@@ -13,9 +13,9 @@
 use super::submit;
 use crate::events;
 use crate::platform::{
-    BOOT_VARIABLE,
     HttpClient,
     MachineClient,
+    SETTINGS_VARIABLE,
     SettingsError,
     StoreClient,
     WorkerClient,
@@ -93,7 +93,7 @@
 /// The settings are invalid, or an address cannot be bound, or a thread or signal
 /// handler cannot be created.
 pub fn run() -> Result<(), Error> {
-    let path = std::env::var(BOOT_VARIABLE).unwrap_or_default();
+    let path = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     let settings = settings_at(&path)?;
     let metrics = set_up_metrics();
     set_up_log()?;
@@ -111,7 +111,7 @@
 ///
 /// The settings are invalid.
 pub fn check() -> Result<String, Error> {
-    let path = std::env::var(BOOT_VARIABLE).unwrap_or_default();
+    let path = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
     let settings = settings_at(&path)?;
     let tuning = settings.tuning;
     Ok(format!(
@@ -192,13 +192,13 @@
     ) -> Result<Self, Error> {
         let (outputs, decisions) = mpsc::unbounded_channel();
         let control = Control::spawn(timer.clone(), outputs)?;
-        let http = HttpClient::open(timer.clone());
-        let store = StoreClient::open(http.clone(), &settings.store_address);
-        let workers = WorkerClient::open(http.clone());
+        let http = HttpClient::new(timer.clone());
+        let store = StoreClient::new(http.clone(), &settings.store_address);
+        let workers = WorkerClient::new(http.clone());
         let machines = settings
             .machines_address
             .as_ref()
-            .map(|address| MachineClient::open(http, address, &settings.daemon));
+            .map(|address| MachineClient::new(http, address, &settings.daemon));
         let boot = rand::random();
         let client_listener = listen(settings.client_address).await?;
         let readiness_listener = listen(settings.readiness_address).await?;
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -157,7 +157,7 @@
 ///
 /// The store refused or did not answer.
 pub async fn inspect_fleet(address: &str, timer: Timer) -> Result<FleetReport, StoreError> {
-    let store = StoreClient::open(HttpClient::open(timer.clone()), address);
+    let store = StoreClient::new(HttpClient::new(timer.clone()), address);
     let mut report = FleetReport::default();
     if let Some(item) = store.get(ROOT_KEY).await? {
         let root = report.valid_value(StoredKind::Root, &item, decode_root(&item.value));
@@ -305,7 +305,7 @@
     timer: Timer,
     job: JobId,
 ) -> Result<Option<StoredJob>, StoreError> {
-    let store = StoreClient::open(HttpClient::open(timer.clone()), address);
+    let store = StoreClient::new(HttpClient::new(timer.clone()), address);
     let mut report = FleetReport::default();
     read_emptied(&store, timer.now_ms(), &mut report).await?;
     let key = progress_key(job);
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -248,7 +248,7 @@
 
 /// Renews the lease of this daemon's entry, and writes the entry again if it is gone.
 async fn renew_membership(node: &Node, lease: &mut u64) -> Result<(), StoreError> {
-    if *lease != 0 && !node.store.keep_lease(*lease).await? {
+    if *lease != 0 && !node.store.renew_lease(*lease).await? {
         *lease = 0;
     }
     if *lease == 0 {
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -43,7 +43,7 @@
 
 impl HttpClient {
     /// Creates a client.
-    pub fn open(timer: Timer) -> Self {
+    pub fn new(timer: Timer) -> Self {
         // The library's limit of 100 connections is lifted, because the open poll of each
         // worker occupies one. Callers bound the number of calls in flight.
         let connector = awc::Connector::new().limit(0);
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -147,13 +147,13 @@
 }
 
 /// Returns the account key that a client sends, if any.
-pub fn key_header(headers: &HeaderMap) -> Option<&str> {
+pub fn account_key(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get("authorization")?.to_str().ok()?;
     value.strip_prefix("Token ").map(str::trim)
 }
 
 /// Returns how long a client waits for its answer, in milliseconds.
-pub fn deadline_header(headers: &HeaderMap) -> Option<u64> {
+pub fn client_timeout_ms(headers: &HeaderMap) -> Option<u64> {
     headers
         .get("deadline-ms")?
         .to_str()
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -87,7 +87,7 @@
 
 impl MachineClient {
     /// Creates a client that gives orders in the name of `holder`.
-    pub fn open(http: HttpClient, address: &str, holder: &str) -> Self {
+    pub fn new(http: HttpClient, address: &str, holder: &str) -> Self {
         Self {
             http,
             address: address.to_owned(),
@@ -130,7 +130,7 @@
     }
 
     /// Orders the upkeep of a machine.
-    pub async fn begin_upkeep(&self, wave: u64, machine: &str, epoch: u64) -> UpkeepOutcome {
+    pub async fn order_upkeep(&self, wave: u64, machine: &str, epoch: u64) -> UpkeepOutcome {
         let url = format!("http://{}/-/machine-upkeep", self.address);
         let epoch = epoch.to_string();
         let headers = [
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -17,11 +17,11 @@
 };
 pub use ingress::{
     READINESS_PATH,
-    deadline_header,
+    account_key, //
+    client_timeout_ms,
     decode_job,
     encode_pending,
     encode_state,
-    key_header, //
 };
 pub use machines::{
     MachineClient,
@@ -36,7 +36,7 @@
     decode_worker, //
 };
 pub use settings::{
-    BOOT_VARIABLE,
+    SETTINGS_VARIABLE,
     SettingsError,
     read_settings, //
 };
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -10,7 +10,7 @@
 use std::str::FromStr;
 
 /// The environment variable that holds the path of the settings file.
-pub const BOOT_VARIABLE: &str = "FUCHSIASLIP_BOOT";
+pub const SETTINGS_VARIABLE: &str = "FUCHSIASLIP_BOOT";
 
 /// The second port of the internal range serves the metrics; the deployment file has the
 /// same number.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[error("cannot read {path}: {problem}; check {BOOT_VARIABLE}")]
+    #[error("cannot read {path}: {problem}; check {SETTINGS_VARIABLE}")]
     Unreadable {
         /// The file.
         path: String,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -174,7 +174,7 @@
 
 impl StoreClient {
     /// Creates a client of the store at `address`.
-    pub fn open(http: HttpClient, address: &str) -> Self {
+    pub fn new(http: HttpClient, address: &str) -> Self {
         Self {
             http,
             address: address.into(),
@@ -385,7 +385,7 @@
     /// # Errors
     ///
     /// The store refused or did not answer.
-    pub async fn keep_lease(&self, lease: u64) -> Result<bool, StoreError> {
+    pub async fn renew_lease(&self, lease: u64) -> Result<bool, StoreError> {
         let url = self.url(&format!("kv-keep/{lease}"));
         let answer = self
             .http
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -119,7 +119,7 @@
 
 impl WorkerClient {
     /// Creates a client.
-    pub fn open(http: HttpClient) -> Self {
+    pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -59,7 +59,7 @@
 fn answer_of(url: String) -> Result<(StatusCode, Bytes), CallFailure> {
     let timer = Timer::spawn().expect("a timer");
     actix_rt::System::new().block_on(async move {
-        let client = HttpClient::open(timer);
+        let client = HttpClient::new(timer);
         client.call(Method::GET, url, &[], None, TIMEOUT_MS).await
     })
 }
