--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Accepts a job: stores it, from here or through a peer, and tells the owner.
+/// Accepts a job: stores it, from here or through a peer, and notifies the owner.
 pub async fn accept(
     node: &Rc<Node>,
     job: JobId,
@@ -110,7 +110,7 @@
     } else if outcome == StorageOutcome::Done && node.owns() {
         send_job_input(node, job, record);
     } else if outcome == StorageOutcome::Done {
-        tell_owner_of_job(node, job, bytes);
+        notify_owner_of_job(node, job, bytes);
     }
     outcome
 }
@@ -172,9 +172,9 @@
     }
 }
 
-/// Tells the owner of a stored job. The owner also watches the store, so a lost message
+/// Notifies the owner of a stored job. The owner also watches the store, so a lost message
 /// costs only time.
-pub fn tell_owner_of_job(node: &Rc<Node>, job: JobId, record: Bytes) {
+pub fn notify_owner_of_job(node: &Rc<Node>, job: JobId, record: Bytes) {
     if node.owns() {
         match decode_job_record(&record) {
             Ok(record) => send_job_input(node, job, record),
@@ -191,10 +191,10 @@
         job: job.0,
         record: record.to_vec(),
     });
-    tell_owner(node, body);
+    notify_owner(node, body);
 }
 
-fn tell_owner(node: &Rc<Node>, body: PeerBody) {
+fn notify_owner(node: &Rc<Node>, body: PeerBody) {
     let Some(owner) = node.owner() else {
         return;
     };
@@ -212,7 +212,7 @@
     });
 }
 
-/// Cancels a job: stores the cancellation, from here or through a peer, and tells the
+/// Cancels a job: stores the cancellation, from here or through a peer, and notifies the
 /// owner.
 pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
     let mut outcome = match node.accepts_jobs() {
@@ -226,18 +226,18 @@
         let body = PeerBody::Cancel(job.0);
         outcome = forwarded_outcome(node.peers.request(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if outcome == StorageOutcome::Done {
-        tell_owner_of_cancellation(node, job);
+        notify_owner_of_cancellation(node, job);
     }
     outcome
 }
 
-/// Tells the owner of a stored cancellation.
-pub fn tell_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
+/// Notifies the owner of a stored cancellation.
+pub fn notify_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
     if node.owns() {
         node.control
             .send_input(node.epoch(), Input::JobCancelled(job));
     } else {
-        tell_owner(node, PeerBody::Cancelled(job.0));
+        notify_owner(node, PeerBody::Cancelled(job.0));
     }
 }
 
@@ -336,7 +336,7 @@
         None => JobStatus::Queued,
     };
     if status == JobStatus::Queued {
-        tell_owner_of_job(node, job, item.value);
+        notify_owner_of_job(node, job, item.value);
     }
     Ok(Some(status))
 }
@@ -385,28 +385,28 @@
             if !node.owns() {
                 return None;
             }
-            tell_owner_of_job(&node, JobId(job.job), job.record.into());
+            notify_owner_of_job(&node, JobId(job.job), job.record.into());
             Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Cancelled(job) => {
             if !node.owns() {
                 return None;
             }
-            tell_owner_of_cancellation(&node, JobId(job));
+            notify_owner_of_cancellation(&node, JobId(job));
             Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Submit(job) => {
             let (id, record) = (JobId(job.job), Bytes::from(job.record));
             let outcome = store_job(&node, id, record.clone(), until_ms).await;
             if outcome == StorageOutcome::Done {
-                tell_owner_of_job(&node, id, record);
+                notify_owner_of_job(&node, id, record);
             }
             Some(PeerBody::StorageOutcome(outcome.code()))
         }
         PeerBody::Cancel(job) => {
             let outcome = store_cancellation(&node, JobId(job), until_ms).await;
             if outcome == StorageOutcome::Done {
-                tell_owner_of_cancellation(&node, JobId(job));
+                notify_owner_of_cancellation(&node, JobId(job));
             }
             Some(PeerBody::StorageOutcome(outcome.code()))
         }
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -349,14 +349,14 @@
         job.state = JobState::Stopping(kind);
         job.state_since_ms = self.now_ms;
         if claiming {
-            self.unclaim_all(key);
+            self.release_all_claims(key);
         } else {
             self.stop_members(key, kind);
         }
         self.try_finish_stop(key);
     }
 
-    fn unclaim_all(&mut self, key: JobKey) {
+    fn release_all_claims(&mut self, key: JobKey) {
         let count = self.jobs.get(key).map_or(0, |job| job.members.len());
         for index in 0..count {
             if let Some(job) = self.jobs.get_mut(key) {
