--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -253,7 +253,7 @@
 /// `percent`, stops responding, crashes 600 ms later and responds again
 /// `silent_after_restart_ms` after its restart. With `ends_before_crash`, the run is done
 /// 100 ms before the crash.
-fn crash_while_silent(
+fn crash_while_unresponsive(
     percent: u32,
     ends_before_crash: bool,
     silent_after_restart_ms: u64,
@@ -286,7 +286,7 @@
 /// polls hung from before the end of a run until after the restart.
 #[test]
 fn a_run_that_may_have_ended_before_its_worker_crashed_is_not_the_only_suspect() {
-    let fleet = crash_while_silent(80, true, 600);
+    let fleet = crash_while_unresponsive(80, true, 600);
 
     assert_eq!(
         fleet.scheduler.job_status(JobId(1)),
@@ -318,7 +318,7 @@
 /// only after its expected end: the next incarnation started before that.
 #[test]
 fn a_run_that_cannot_have_ended_before_the_restart_remains_a_suspect() {
-    let fleet = crash_while_silent(20, false, 1_500);
+    let fleet = crash_while_unresponsive(20, false, 1_500);
 
     assert_eq!(
         fleet.scheduler.job_status(JobId(1)),
