--- a/benches/entries.rs
+++ b/benches/entries.rs
@@ -95,8 +95,8 @@
             Ok(info) => Input::WorkerRegistered(info),
             Err(error) => {
                 let reason = error.reason();
-                reporter.note(StoredKind::Worker, item, &error.into(), NOW_MS);
-                Input::WorkerEntryUnusable {
+                reporter.record(StoredKind::Worker, item, &error.into(), NOW_MS);
+                Input::WorkerEntryInvalid {
                     worker_name: worker_name.to_owned(),
                     reason,
                 }
@@ -173,7 +173,7 @@
     let address = operator.store.to_string();
     let store = system.block_on(async move {
         let timer = Timer::spawn().expect("a timer");
-        StoreClient::open(HttpClient::open(timer), &address)
+        StoreClient::new(HttpClient::new(timer), &address)
     });
     let pairs = measure_pairs(READ_PAIRS, |is_bad| {
         let prefix = if is_bad { "tenth/" } else { "clean/" };
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -24,8 +24,8 @@
     decode_root,
     job_id,
     job_key,
+    parse_job_key, //
     progress_key,
-    read_job_key, //
 };
 use super::store_types::{
     StoreError,
@@ -157,7 +157,7 @@
 ///
 /// The store refused or did not answer.
 pub async fn inspect_fleet(address: &str, timer: Timer) -> Result<FleetReport, StoreError> {
-    let store = StoreClient::open(HttpClient::open(timer.clone()), address);
+    let store = StoreClient::new(HttpClient::new(timer.clone()), address);
     let mut report = FleetReport::default();
     if let Some(item) = store.get(ROOT_KEY).await? {
         let root = report.valid_value(StoredKind::Root, &item, decode_root(&item.value));
@@ -273,7 +273,7 @@
         }
     }
     for item in store.range(JOBS_PREFIX, true).await?.items {
-        let kind = read_job_key(&item.key);
+        let kind = parse_job_key(&item.key);
         if let Some(JobKeyKind::Job(_)) = kind {
             report.valid_value(StoredKind::Job, &item, decode_job_record(&item.value));
         }
@@ -305,7 +305,7 @@
     timer: Timer,
     job: JobId,
 ) -> Result<Option<StoredJob>, StoreError> {
-    let store = StoreClient::open(HttpClient::open(timer.clone()), address);
+    let store = StoreClient::new(HttpClient::new(timer.clone()), address);
     let mut report = FleetReport::default();
     read_emptied(&store, timer.now_ms(), &mut report).await?;
     let key = progress_key(job);
--- a/src/cluster/log_lines.rs
+++ b/src/cluster/log_lines.rs
@@ -195,7 +195,7 @@
 /// Logs an invalid stored value.
 pub fn invalid_value(line: &InvalidValueLine<'_>) {
     emit(
-        crate::events::RECORD_UNREADABLE,
+        crate::events::VALUE_INVALID,
         json!({
             "key": line.key, "revision": line.revision, "kind": line.kind,
             "reason": line.reason, "problem": line.problem, "done": line.done,
@@ -288,7 +288,7 @@
             max_attempts,
             configuration_version,
         } => (
-            events::JOB_OPENED,
+            events::JOB_READY,
             "job_opened",
             "due",
             json!({ "job": job.to_string(), "occurrence": occurrence, "queue": record.queue,
@@ -324,18 +324,18 @@
         Decision::RecoveryOver {
             waited_ms,
             groups,
-            unheard,
+            unresponsive,
         } => {
             metrics::histogram!("fuchsiaslip_recovery_ms").record(*waited_ms as f64);
             (
-                events::RECOVERY_OVER,
+                events::RECOVERY_FINISHED,
                 "recovery_over",
-                match unheard.is_empty() {
+                match unresponsive.is_empty() {
                     true => "all_answered",
                     false => "leases_over",
                 },
-                json!({ "waited_ms": waited_ms, "groups": groups, "unheard": unheard.len(),
-                    "workers": unheard.iter().take(MAX_NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
+                json!({ "waited_ms": waited_ms, "groups": groups, "unheard": unresponsive.len(),
+                    "workers": unresponsive.iter().take(MAX_NAMED_WORKERS).map(|name| &**name).collect::<Vec<_>>() }),
             )
         }
         Decision::Quarantined {
@@ -358,18 +358,18 @@
             outcome.name(),
             json!({ "wave": wave, "machine": &**machine }),
         ),
-        Decision::EntryUnusable {
+        Decision::EntryInvalid {
             worker,
             reason,
             runs,
         } => (
-            events::ENTRY_UNUSABLE,
+            events::ENTRY_INVALID,
             "entry_unusable",
             *reason,
             json!({ "worker": &**worker, "runs": runs }),
         ),
-        Decision::EntryUsable { worker, runs } => (
-            events::ENTRY_USABLE,
+        Decision::EntryValid { worker, runs } => (
+            events::ENTRY_VALID,
             "entry_usable",
             "readable",
             json!({ "worker": &**worker, "runs": runs }),
@@ -396,30 +396,30 @@
                 "accelerators_left": accelerators_left,
                 "guaranteed_accelerators": guaranteed_accelerators }),
         ),
-        Decision::DataCentreBack {
+        Decision::EmptyingWithdrawn {
             data_centre,
             revision,
             emptied_ms,
             workers,
             runs,
         } => (
-            events::DATA_CENTRE_BACK,
+            events::DATA_CENTRE_RESTORED,
             "data_centre_back",
             "taken_back",
             json!({ "data_centre": &**data_centre, "revision": revision, "workers": workers,
                 "runs": runs, "emptied_ms": emptied_ms }),
         ),
-        Decision::DataCentreUsed {
+        Decision::FirstStartAfterEmptying {
             data_centre,
             after_ms,
         } => (
-            events::DATA_CENTRE_USED,
+            events::FIRST_START_AFTER_EMPTYING,
             "data_centre_used",
             "taken_back",
             json!({ "data_centre": &**data_centre, "after_ms": after_ms }),
         ),
-        Decision::OrdersUnread { known_ago_ms } => (
-            events::ORDERS_UNREAD,
+        Decision::OrdersStale { known_ago_ms } => (
+            events::ORDERS_STALE,
             "orders_unread",
             "store_silent",
             json!({ "known_ago_ms": known_ago_ms }),
@@ -428,7 +428,7 @@
             name,
             worker,
             ordered_ago_ms,
-            heard_after_ms,
+            responded_after_ms,
             exited_within_ms,
             percent,
             reason,
@@ -437,14 +437,14 @@
             "run_lost",
             *reason,
             json!({ "task": name.task.to_string(), "run": name.run, "worker": &**worker,
-                "ordered_ago_ms": ordered_ago_ms, "heard_after_ms": heard_after_ms,
+                "ordered_ago_ms": ordered_ago_ms, "heard_after_ms": responded_after_ms,
                 "exited_within_ms": exited_within_ms, "percent": percent }),
         ),
         Decision::CrashCounted {
             name,
             worker,
             at_start,
-            alone,
+            only_suspect,
             crashes,
             crashes_at_start,
         } => (
@@ -452,7 +452,7 @@
             "crash_counted",
             if *at_start { "at_start" } else { "later" },
             json!({ "task": name.task.to_string(), "run": name.run, "worker": &**worker,
-                "alone": alone, "crashes": crashes, "crashes_at_start": crashes_at_start }),
+                "alone": only_suspect, "crashes": crashes, "crashes_at_start": crashes_at_start }),
         ),
         Decision::TaskGivenUp {
             name,
@@ -460,14 +460,14 @@
             crashes_at_start,
             reason,
         } => (
-            events::TASK_CRASHES,
+            events::TASK_CRASHES_WORKERS,
             "task_given_up",
             *reason,
             json!({ "task": name.task.to_string(), "run": name.run,
                 "crashes": crashes, "crashes_at_start": crashes_at_start }),
         ),
-        Decision::EntriesUnread { known_ago_ms } => (
-            events::ENTRIES_UNREAD,
+        Decision::EntriesStale { known_ago_ms } => (
+            events::ENTRIES_STALE,
             "entries_unread",
             "store_silent",
             json!({ "known_ago_ms": known_ago_ms }),
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -8,7 +8,7 @@
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
-use super::peer_connections::status_of;
+use super::peer_connections::status_from_code;
 use super::peer_frame::{
     JobBytes,
     PeerBody, //
@@ -84,7 +84,7 @@
     }
 }
 
-/// Accepts a job: stores it, from here or through a peer, and tells the owner.
+/// Accepts a job: stores it, from here or through a peer, and notifies the owner.
 pub async fn accept(
     node: &Rc<Node>,
     job: JobId,
@@ -106,11 +106,11 @@
             job: job.0,
             record: bytes.to_vec(),
         });
-        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+        outcome = forwarded_outcome(node.peers.request(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if outcome == StorageOutcome::Done && node.owns() {
         send_job_input(node, job, record);
     } else if outcome == StorageOutcome::Done {
-        tell_owner_of_job(node, job, bytes);
+        notify_owner_of_job(node, job, bytes);
     }
     outcome
 }
@@ -150,7 +150,7 @@
             Ok(CommitResult::Done { .. } | CommitResult::Conflict(_)) => {
                 return StorageOutcome::Done;
             }
-            Ok(CommitResult::LeaseOver) => return StorageOutcome::Refused,
+            Ok(CommitResult::LeaseExpired) => return StorageOutcome::Refused,
             Err(StoreError::Refused) if refusal_is_final => return StorageOutcome::Refused,
             Err(StoreError::Refused) => {}
             Err(StoreError::NoAnswer) => refusal_is_final = false,
@@ -172,15 +172,15 @@
     }
 }
 
-/// Tells the owner of a stored job. The owner also watches the store, so a lost message
+/// Notifies the owner of a stored job. The owner also watches the store, so a lost message
 /// costs only time.
-pub fn tell_owner_of_job(node: &Rc<Node>, job: JobId, record: Bytes) {
+pub fn notify_owner_of_job(node: &Rc<Node>, job: JobId, record: Bytes) {
     if node.owns() {
         match decode_job_record(&record) {
             Ok(record) => send_job_input(node, job, record),
             // The watch of the store reports the invalid record.
             Err(_) => {
-                node.note_unreadable(job);
+                node.record_unreadable(job);
                 node.control
                     .send_input(node.epoch(), Input::JobUnreadable(job));
             }
@@ -191,10 +191,10 @@
         job: job.0,
         record: record.to_vec(),
     });
-    tell_owner(node, body);
+    notify_owner(node, body);
 }
 
-fn tell_owner(node: &Rc<Node>, body: PeerBody) {
+fn notify_owner(node: &Rc<Node>, body: PeerBody) {
     let Some(owner) = node.owner() else {
         return;
     };
@@ -202,7 +202,7 @@
     actix_rt::spawn(async move {
         if node
             .peers
-            .ask(owner.address, body, OWNER_TIMEOUT_MS)
+            .request(owner.address, body, OWNER_TIMEOUT_MS)
             .await
             .is_none()
         {
@@ -212,7 +212,7 @@
     });
 }
 
-/// Cancels a job: stores the cancellation, from here or through a peer, and tells the
+/// Cancels a job: stores the cancellation, from here or through a peer, and notifies the
 /// owner.
 pub async fn cancel(node: &Rc<Node>, job: JobId, until_ms: u64) -> StorageOutcome {
     let mut outcome = match node.accepts_jobs() {
@@ -224,20 +224,20 @@
     {
         metrics::counter!("fuchsiaslip_forwarded_total", "call" => "cancel").increment(1);
         let body = PeerBody::Cancel(job.0);
-        outcome = forwarded_outcome(node.peers.ask(peer, body, FORWARD_TIMEOUT_MS).await);
+        outcome = forwarded_outcome(node.peers.request(peer, body, FORWARD_TIMEOUT_MS).await);
     } else if outcome == StorageOutcome::Done {
-        tell_owner_of_cancellation(node, job);
+        notify_owner_of_cancellation(node, job);
     }
     outcome
 }
 
-/// Tells the owner of a stored cancellation.
-pub fn tell_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
+/// Notifies the owner of a stored cancellation.
+pub fn notify_owner_of_cancellation(node: &Rc<Node>, job: JobId) {
     if node.owns() {
         node.control
             .send_input(node.epoch(), Input::JobCancelled(job));
     } else {
-        tell_owner(node, PeerBody::Cancelled(job.0));
+        notify_owner(node, PeerBody::Cancelled(job.0));
     }
 }
 
@@ -271,7 +271,7 @@
     match node.store.commit(&transaction).await? {
         CommitResult::Done { .. } => Ok(StorageOutcome::Done),
         // The job was deleted in between.
-        CommitResult::Conflict(_) | CommitResult::LeaseOver => Ok(StorageOutcome::NoSuchJob),
+        CommitResult::Conflict(_) | CommitResult::LeaseExpired => Ok(StorageOutcome::NoSuchJob),
     }
 }
 
@@ -298,13 +298,13 @@
         return node.control.job_status(job).await;
     }
     let owner = node.owner()?;
-    let answer = node.peers.ask(
+    let answer = node.peers.request(
         owner.address,
         PeerBody::JobStatusOf(job.0),
         OWNER_TIMEOUT_MS,
     );
     match answer.await? {
-        PeerBody::JobStatus(code) => Some(status_of(code)),
+        PeerBody::JobStatus(code) => Some(status_from_code(code)),
         _ => None,
     }
 }
@@ -336,7 +336,7 @@
         None => JobStatus::Queued,
     };
     if status == JobStatus::Queued {
-        tell_owner_of_job(node, job, item.value);
+        notify_owner_of_job(node, job, item.value);
     }
     Ok(Some(status))
 }
@@ -348,7 +348,11 @@
             node.control.pending(queue).await
         } else if let Some(owner) = node.owner() {
             let body = PeerBody::PendingCountOf(queue.to_owned());
-            match node.peers.ask(owner.address, body, OWNER_TIMEOUT_MS).await {
+            match node
+                .peers
+                .request(owner.address, body, OWNER_TIMEOUT_MS)
+                .await
+            {
                 Some(PeerBody::PendingCount(pending)) => Some(pending),
                 _ => None,
             }
@@ -368,7 +372,7 @@
     match body {
         PeerBody::JobStatusOf(job) => {
             let status = node.control.job_status(JobId(job)).await?;
-            Some(PeerBody::JobStatus(super::peer_connections::code_of(
+            Some(PeerBody::JobStatus(super::peer_connections::status_code(
                 status,
             )))
         }
@@ -381,28 +385,28 @@
             if !node.owns() {
                 return None;
             }
-            tell_owner_of_job(&node, JobId(job.job), job.record.into());
+            notify_owner_of_job(&node, JobId(job.job), job.record.into());
             Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Cancelled(job) => {
             if !node.owns() {
                 return None;
             }
-            tell_owner_of_cancellation(&node, JobId(job));
+            notify_owner_of_cancellation(&node, JobId(job));
             Some(PeerBody::StorageOutcome(StorageOutcome::Done.code()))
         }
         PeerBody::Submit(job) => {
             let (id, record) = (JobId(job.job), Bytes::from(job.record));
             let outcome = store_job(&node, id, record.clone(), until_ms).await;
             if outcome == StorageOutcome::Done {
-                tell_owner_of_job(&node, id, record);
+                notify_owner_of_job(&node, id, record);
             }
             Some(PeerBody::StorageOutcome(outcome.code()))
         }
         PeerBody::Cancel(job) => {
             let outcome = store_cancellation(&node, JobId(job), until_ms).await;
             if outcome == StorageOutcome::Done {
-                tell_owner_of_cancellation(&node, JobId(job));
+                notify_owner_of_cancellation(&node, JobId(job));
             }
             Some(PeerBody::StorageOutcome(outcome.code()))
         }
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -119,7 +119,7 @@
 
 impl WorkerClient {
     /// Creates a client.
-    pub fn open(http: HttpClient) -> Self {
+    pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
@@ -274,7 +274,7 @@
                 "old" => StartRefusal::OldRun,
                 "late" => StartRefusal::Late,
                 "ticket" => StartRefusal::NoTicket,
-                "room" => StartRefusal::NoRoom,
+                "room" => StartRefusal::NoCapacity,
                 _ => StartRefusal::Unhealthy,
             })
         }
--- a/tests/crashes/drawn.rs
+++ b/tests/crashes/drawn.rs
@@ -46,7 +46,7 @@
     /// From now on the store holds back progress (`true`) or stores it at once.
     HoldProgress(bool),
     /// Another daemon becomes the owner.
-    ChangeOwner { earlier_owner_over: bool },
+    ChangeOwner { earlier_owner_exited: bool },
     /// This many milliseconds pass.
     Advance(u16),
 }
@@ -58,8 +58,8 @@
         2 => any::<u8>().prop_map(Event::Crash),
         1 => any::<u8>().prop_map(Event::ToggleReachable),
         1 => any::<bool>().prop_map(Event::HoldProgress),
-        2 => any::<bool>().prop_map(|earlier_owner_over| {
-            Event::ChangeOwner { earlier_owner_over }
+        2 => any::<bool>().prop_map(|earlier_owner_exited| {
+            Event::ChangeOwner { earlier_owner_exited }
         }),
         8 => (10..4_000u16).prop_map(Event::Advance),
     ]
@@ -81,7 +81,7 @@
 impl Scenario {
     fn begin(crash_after_ms: u64) -> Self {
         let mut fleet = Fleet::with_workers(WORKERS);
-        fleet.holds_progress = true;
+        fleet.defers_progress = true;
         fleet.crash_after_ms = crash_after_ms;
         Self {
             fleet,
@@ -105,7 +105,9 @@
                 }
                 Event::ToggleReachable(which) => self.toggle_reachable(which),
                 Event::HoldProgress(next) => delays_progress = next,
-                Event::ChangeOwner { earlier_owner_over } => self.change_owner(earlier_owner_over),
+                Event::ChangeOwner {
+                    earlier_owner_exited,
+                } => self.change_owner(earlier_owner_exited),
                 Event::Advance(by_ms) => self.advance_checked(u64::from(by_ms), delays_progress),
             }
         }
@@ -138,14 +140,14 @@
         let Some(name) = self.worker(which) else {
             return;
         };
-        let silent = &mut self.fleet.silent;
-        match silent.iter().position(|other| *other == name) {
-            Some(at) => drop(silent.remove(at)),
-            None => silent.push(name),
+        let unresponsive = &mut self.fleet.unresponsive;
+        match unresponsive.iter().position(|other| *other == name) {
+            Some(at) => drop(unresponsive.remove(at)),
+            None => unresponsive.push(name),
         }
     }
 
-    fn change_owner(&mut self, earlier_owner_over: bool) {
+    fn change_owner(&mut self, earlier_owner_exited: bool) {
         let lost: Vec<RunName> = self
             .fleet
             .crashed
@@ -155,11 +157,13 @@
             .collect();
         self.unrecorded.extend(lost);
         self.epoch += 1;
-        let deleted = &self.fleet.forgotten;
+        let deleted = &self.fleet.deleted_jobs;
         let jobs = self.jobs.iter().filter(|(id, _)| !deleted.contains(id));
         let jobs: Vec<_> = jobs.cloned().collect();
-        let mut next = self.fleet.next_owner(self.epoch, &jobs, earlier_owner_over);
-        next.holds_progress = true;
+        let mut next = self
+            .fleet
+            .next_owner(self.epoch, &jobs, earlier_owner_exited);
+        next.defers_progress = true;
         self.fleet = next;
     }
 
@@ -200,7 +204,7 @@
         let now_ms = self.fleet.now_ms;
         for (worker, name) in self.fleet.running() {
             let started_ms = *self.first_seen_ms.entry(name).or_insert(now_ms);
-            let lease_expired = self.fleet.workers[&worker].has_lapsed(now_ms);
+            let lease_expired = self.fleet.workers[&worker].has_expired_lease(now_ms);
             if lease_expired {
                 self.fleet.end_run(&worker, name, EndKind::LeaseExpired);
             } else if now_ms >= started_ms + RUN_MS && self.can_end(name) {
@@ -289,7 +293,7 @@
 
     /// Ends all faults, and checks that every job then reaches its final state.
     fn recover_and_finish(&mut self) {
-        self.fleet.silent.clear();
+        self.fleet.unresponsive.clear();
         self.advance_checked(RECOVERY_MS, false);
         for (id, _) in &self.jobs {
             let end = self.ended.get(id);
