--- a/benches/path.rs
+++ b/benches/path.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use fuchsiaslip::client::Client;
-use fuchsiaslip::core::read_public_name;
+use fuchsiaslip::core::parse_public_name;
 use fuchsiaslip::standin::Platform;
 use fuchsiaslip::timer::Timer;
 use std::collections::HashMap;
@@ -72,7 +72,7 @@
     let mut requested: HashMap<u64, u64> = HashMap::new();
     for job in submissions {
         if let Ok((requested_ms, Some(name))) = job.await
-            && let Some((_, id)) = read_public_name(&name)
+            && let Some((_, id)) = parse_public_name(&name)
         {
             requested.insert(id.0, requested_ms);
         }
@@ -81,7 +81,7 @@
     platform.each_worker(|worker| {
         for run in &worker.runs {
             if let Some(requested_ms) = requested.get(&run.attempt.job.0) {
-                waits_ms.push(run.began_ms.saturating_sub(*requested_ms));
+                waits_ms.push(run.started_ms.saturating_sub(*requested_ms));
             }
         }
     });
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -49,7 +49,7 @@
 fn first_start_after(platform: &Platform, since_ms: u64) -> Option<u64> {
     let mut first: Option<u64> = None;
     platform.each_worker(|worker| {
-        let starts = worker.runs.iter().map(|run| run.began_ms);
+        let starts = worker.runs.iter().map(|run| run.started_ms);
         let earliest = starts.filter(|&at_ms| at_ms > since_ms).min();
         first = [first, earliest].into_iter().flatten().min();
     });
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -11,7 +11,7 @@
 };
 use fuchsiaslip::core::{
     Adjacency,
-    read_public_name, //
+    parse_public_name, //
 };
 use fuchsiaslip::daemon::{
     Daemon,
@@ -202,7 +202,7 @@
     tally: &Rc<RefCell<BTreeMap<&'static str, Tally>>>,
 ) {
     let name = response.job.clone().unwrap_or_default();
-    let expected = read_public_name(&name).map(|(_, id)| TaskSpec::answer(id, &task.payload()));
+    let expected = parse_public_name(&name).map(|(_, id)| TaskSpec::answer(id, &task.payload()));
     let is_expected = expected.as_ref() == Some(&response.body);
     let report: fuchsiaslip::core::JobReport = match client.status(&name).await {
         Ok(status) => serde_json::from_slice(&status.body).unwrap_or_default(),
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -53,7 +53,7 @@
 
 /// The body of a worker's answer to a poll, encoded with prost.
 #[derive(Clone, PartialEq, Message)]
-pub struct WorkerAnswerBody {
+pub struct PollAnswerBody {
     /// The worker's incarnation, which changes when the worker restarts.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -116,13 +116,13 @@
 /// A client of the platform's services at one address. It stays on the thread that
 /// created it.
 #[derive(Clone)]
-pub struct HttpPlatform {
+pub struct HttpBackend {
     address: Rc<str>,
     client: Client,
     timer: Timer,
 }
 
-impl HttpPlatform {
+impl HttpBackend {
     /// Creates a client for the platform at `address`, an IP address with a port.
     pub fn open(address: &str, timer: Timer) -> Self {
         Self {
@@ -166,7 +166,7 @@
             let platform = platform.clone();
             Box::pin(async move {
                 let answer = platform.fetch_list(scope, &tag).await;
-                answer.unwrap_or(ListAnswer::Silent)
+                answer.unwrap_or(ListAnswer::Unavailable)
             })
         })
     }
@@ -297,7 +297,7 @@
         let result = self
             .timer
             .timeout(timeout_ms, self.send_worker(address, call));
-        result.await.unwrap_or(Err(WorkerFailure::Silent))
+        result.await.unwrap_or(Err(WorkerFailure::Unresponsive))
     }
 
     async fn send_worker(
@@ -313,16 +313,16 @@
             true => request.send().await,
             false => request.send_body(body).await,
         };
-        let mut response = sent.map_err(|_| WorkerFailure::Silent)?;
+        let mut response = sent.map_err(|_| WorkerFailure::Unresponsive)?;
         let status = response.status();
         let body = response.body().limit(MAX_ANSWER_BYTES).await;
-        let body = body.map_err(|_| WorkerFailure::Silent)?;
+        let body = body.map_err(|_| WorkerFailure::Unresponsive)?;
         match status {
             StatusCode::OK if is_poll => decode_poll(&body),
             StatusCode::OK => decode_state(&body),
             StatusCode::ACCEPTED => Ok(WorkerAnswer::Done),
             StatusCode::CONFLICT => decode_refusal(&body),
-            _ => Err(WorkerFailure::Silent),
+            _ => Err(WorkerFailure::Unresponsive),
         }
     }
 }
@@ -391,7 +391,7 @@
 }
 
 fn decode_poll(body: &Bytes) -> Result<WorkerAnswer, WorkerFailure> {
-    let body = WorkerAnswerBody::decode(body.clone()).map_err(|_| WorkerFailure::Silent)?;
+    let body = PollAnswerBody::decode(body.clone()).map_err(|_| WorkerFailure::Unresponsive)?;
     let changes: Vec<TaskChange> = body
         .tasks
         .tasks
@@ -407,7 +407,7 @@
 }
 
 fn decode_state(body: &Bytes) -> Result<WorkerAnswer, WorkerFailure> {
-    let body = TaskBody::decode(body.clone()).map_err(|_| WorkerFailure::Silent)?;
+    let body = TaskBody::decode(body.clone()).map_err(|_| WorkerFailure::Unresponsive)?;
     Ok(WorkerAnswer::State(body.into_change().state))
 }
 
@@ -418,5 +418,5 @@
         .find(|refusal| refusal.name().as_bytes() == body);
     refusal
         .map(WorkerAnswer::Refused)
-        .ok_or(WorkerFailure::Silent)
+        .ok_or(WorkerFailure::Unresponsive)
 }
--- a/src/backend/membership.rs
+++ b/src/backend/membership.rs
@@ -61,7 +61,7 @@
         vms: Vec<VmRecord>,
     },
     /// The list could not be fetched.
-    Silent,
+    Unavailable,
 }
 
 type ListVms = dyn Fn(ListScope, String) -> LocalBoxFuture<'static, ListAnswer>;
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -11,9 +11,9 @@
 mod worker;
 
 pub use http::{
-    HttpPlatform,
+    HttpBackend,
+    PollAnswerBody,
     VERSION_HEADER,
-    WorkerAnswerBody,
     WorkerQuery, //
 };
 pub use membership::{
--- a/src/backend/worker.rs
+++ b/src/backend/worker.rs
@@ -166,7 +166,7 @@
 pub enum WorkerFailure {
     /// No connection could be opened, or no valid answer arrived in time.
     #[error("the worker does not answer; calls are retried until its lease has expired")]
-    Silent,
+    Unresponsive,
 }
 
 type CallWorker =
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -9,7 +9,7 @@
 };
 use super::output;
 use crate::backend::{
-    HttpPlatform,
+    HttpBackend,
     Store,
     StoreAnswer,
     StoreCall,
@@ -235,7 +235,7 @@
             });
         }
     };
-    let store = HttpPlatform::open(&command.platform, timer).store();
+    let store = HttpBackend::open(&command.platform, timer).store();
     let key = ledger::root_key(&command.data_centre);
     let value = fetch_value(&store, &key).await?;
     let root = ledger::decode_root(value).map_err(|source| Error::Ledger { key, source })?;
--- a/src/config/patch.rs
+++ b/src/config/patch.rs
@@ -156,7 +156,7 @@
         "account `{account}`: {missing} of its guaranteed shapes do not fit in \
          `{data_centre}` together with the other guarantees; lower a count or add workers"
     )]
-    NoWitness {
+    GuaranteesUnmet {
         /// The account whose guarantees are not all satisfied.
         account: String,
         /// The data centre that is too small.
--- a/src/core/explain.rs
+++ b/src/core/explain.rs
@@ -38,7 +38,7 @@
     /// Its class's name.
     #[prost(string, tag = "3")]
     pub class: String,
-    /// Its state, as named by [`state_name`].
+    /// Name of its state, the same as in the metrics.
     #[prost(string, tag = "4")]
     pub state: String,
     /// Its outcome, as named by the ledger.
@@ -274,7 +274,7 @@
 
 /// Splits a public name into data centre and identity. Returns `None` if it is
 /// malformed.
-pub fn read_public_name(name: &str) -> Option<(&str, JobId)> {
+pub fn parse_public_name(name: &str) -> Option<(&str, JobId)> {
     let (data_centre, id) = name.rsplit_once('.')?;
     let id = u64::from_str_radix(id, 16).ok()?;
     Some((data_centre, JobId(id)))
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -63,8 +63,8 @@
     JobReport,
     WaitReport,
     WorkerReport,
+    parse_public_name, //
     public_name,
-    read_public_name, //
 };
 pub use fleet::{
     CapacityView, //
--- a/src/daemon/answer.rs
+++ b/src/daemon/answer.rs
@@ -3,7 +3,7 @@
 //! An answer that does not match its recorded length and digest never reaches its
 //! full length at the caller.
 
-use crate::backend::HttpPlatform;
+use crate::backend::HttpBackend;
 use crate::core::AttemptId;
 use crate::ledger::AnswerRecord;
 use crate::timer::Timer;
@@ -44,7 +44,7 @@
 /// The worker does not respond, or an answer from the ledger does not match its
 /// record. A streamed answer that does not match fails in its stream.
 pub async fn body(
-    platform: &HttpPlatform,
+    platform: &HttpBackend,
     timer: &Timer,
     attempt: AttemptId,
     record: &AnswerRecord,
--- a/src/daemon/entry/jobs.rs
+++ b/src/daemon/entry/jobs.rs
@@ -18,8 +18,8 @@
     JobReport,
     Refusal,
     RefusalReason,
+    parse_public_name, //
     public_name,
-    read_public_name, //
 };
 use crate::ledger::OutcomeCode;
 use crate::owner::{
@@ -87,7 +87,7 @@
         let submission = body.submission(&account, &key);
         let request = Request::Submit {
             submission,
-            asked_ms: self.shared.timer.now_ms(),
+            received_ms: self.shared.timer.now_ms(),
         };
         let reply = self.route(&data_centre, request).await;
         let job = match reply {
@@ -194,7 +194,7 @@
     /// Returns the report of a job if the caller may see it. A job of another account is
     /// treated as one that does not exist.
     async fn report(&self, caller: &Caller, name: &str) -> Result<JobReport, ApiError> {
-        let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
+        let (data_centre, job) = parse_public_name(name).ok_or(ApiError::NoSuchJob)?;
         let report = match self.route(data_centre, Request::Explain(job)).await {
             Reply::Job(report) => *report,
             Reply::NotFound => return Err(ApiError::NoSuchJob),
@@ -215,7 +215,7 @@
         let caller = Caller::Account(self.account(request)?);
         let wait: WaitQuery = body::query(request)?;
         let report = self.report(&caller, name).await?;
-        let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
+        let (data_centre, job) = parse_public_name(name).ok_or(ApiError::NoSuchJob)?;
         let has_ended = report.outcome != OutcomeCode::None.name();
         if !has_ended && wait.wait_ms == 0 {
             return Err(ApiError::NotEnded);
@@ -235,7 +235,7 @@
         let account = self.account(request)?;
         let mut by_data_centre: BTreeMap<&str, Vec<JobId>> = BTreeMap::new();
         for name in names {
-            let (data_centre, job) = read_public_name(name).ok_or(ApiError::NoSuchJob)?;
+            let (data_centre, job) = parse_public_name(name).ok_or(ApiError::NoSuchJob)?;
             by_data_centre.entry(data_centre).or_default().push(job);
         }
         let mut cancelled = 0;
--- a/src/daemon/entry/mod.rs
+++ b/src/daemon/entry/mod.rs
@@ -14,7 +14,7 @@
 use super::patch::PatchOutcome;
 use super::settings::Settings;
 use super::status::Status;
-use crate::backend::HttpPlatform;
+use crate::backend::HttpBackend;
 use crate::config::{
     Configuration,
     Patch,
@@ -72,14 +72,14 @@
 #[derive(Clone)]
 pub struct Api {
     shared: Shared,
-    platform: HttpPlatform,
+    platform: HttpBackend,
 }
 
 impl Api {
     /// Creates the API of the calling thread.
     pub fn open(shared: Shared) -> Self {
         let address = shared.settings.platform_address.to_string();
-        let platform = HttpPlatform::open(&address, shared.timer.clone());
+        let platform = HttpBackend::open(&address, shared.timer.clone());
         Self { shared, platform }
     }
 
--- a/src/daemon/patch.rs
+++ b/src/daemon/patch.rs
@@ -93,7 +93,7 @@
         };
         let fleet = nominal_fleet(&vms);
         for shortfall in nominal_shortfalls(&fleet, &candidate, data_centre) {
-            problems.push(PatchProblem::NoWitness {
+            problems.push(PatchProblem::GuaranteesUnmet {
                 account: shortfall.account,
                 data_centre: data_centre.clone(),
                 missing: shortfall.missing,
--- a/src/daemon/peer.rs
+++ b/src/daemon/peer.rs
@@ -203,9 +203,9 @@
         self.shared.directory.record_heartbeat(heartbeat, now_ms);
     }
 
-    async fn confirm_configuration(&self, asked_ms: u64) {
-        self.shared.status.confirm(asked_ms);
-        let confirmed = Event::ConfigurationConfirmed { asked_ms };
+    async fn confirm_configuration(&self, requested_ms: u64) {
+        self.shared.status.confirm(requested_ms);
+        let confirmed = Event::ConfigurationConfirmed { requested_ms };
         self.shared.control.send_event(confirmed).await;
     }
 
@@ -237,7 +237,7 @@
                     .send_event_acknowledged(Event::WorkerUpdate { worker, update })
                     .await
                 {
-                    true => ReplyBody::Taken(true),
+                    true => ReplyBody::UpdateHandled(true),
                     false => ReplyBody::NotOwner(true),
                 }
             }
@@ -332,7 +332,7 @@
         let reply = self
             .send_request(&address, RequestBody::WorkerUpdate(body), 0)
             .await;
-        matches!(reply, Some(ReplyBody::Taken(_)))
+        matches!(reply, Some(ReplyBody::UpdateHandled(_)))
     }
 
     async fn send_request(&self, address: &str, body: RequestBody, hops: u32) -> Option<ReplyBody> {
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -23,7 +23,7 @@
 use super::watch::Watch;
 use super::worker_monitor::WorkerMonitor;
 use crate::backend::{
-    HttpPlatform,
+    HttpBackend,
     ListAnswer,
     ListScope,
     Membership,
@@ -431,7 +431,7 @@
         commands: mpsc::Receiver<ApiCommand>,
     ) {
         let address = self.settings.platform_address.to_string();
-        let platform = HttpPlatform::open(&address, self.timer.clone());
+        let platform = HttpBackend::open(&address, self.timer.clone());
         let peers = Peers::open(
             &self.settings.daemon,
             &self.settings.data_centre,
@@ -508,7 +508,7 @@
                 self.control.send_event(members).await;
             }
             ListAnswer::Unchanged => {}
-            ListAnswer::Silent => count_failed_list(),
+            ListAnswer::Unavailable => count_failed_list(),
         }
     }
 
@@ -519,7 +519,7 @@
                 self.directory.set_daemons(vms);
             }
             ListAnswer::Unchanged => {}
-            ListAnswer::Silent => count_failed_list(),
+            ListAnswer::Unavailable => count_failed_list(),
         }
     }
 
--- a/src/daemon/watch.rs
+++ b/src/daemon/watch.rs
@@ -85,7 +85,7 @@
             Some(_) => WATCH_WAIT_MS,
             None => 0,
         };
-        let asked_ms = self.timer.now_ms();
+        let requested_ms = self.timer.now_ms();
         let answer = self.store.call(StoreCall::Watch {
             key: CONFIGURATION_KEY.to_owned(),
             after_version: version,
@@ -105,12 +105,12 @@
         // version in force was the latest until then. A newer version may have been read
         // any time after the request, so it is confirmed only as of the request.
         let confirmed_ms = match newer {
-            true => asked_ms,
-            false => asked_ms.max(self.timer.now_ms().min(asked_ms + wait_ms)),
+            true => requested_ms,
+            false => requested_ms.max(self.timer.now_ms().min(requested_ms + wait_ms)),
         };
         self.status.confirm(confirmed_ms);
         let confirmed = Event::ConfigurationConfirmed {
-            asked_ms: confirmed_ms,
+            requested_ms: confirmed_ms,
         };
         self.control.send_event(confirmed).await;
         if newer {
--- a/src/daemon/worker_monitor.rs
+++ b/src/daemon/worker_monitor.rs
@@ -139,11 +139,11 @@
         let should_report =
             restarted || state.leaving != answer.leaving || state.reported_epoch != epoch;
         if should_report {
-            let seen = WorkerUpdate::Seen {
+            let responded = WorkerUpdate::Responded {
                 incarnation: answer.incarnation,
                 leaving: answer.leaving,
             };
-            if !self.deliver(worker, seen).await {
+            if !self.deliver(worker, responded).await {
                 self.shared.timer.sleep(DELIVERY_RETRY_MS).await;
                 return;
             }
@@ -173,8 +173,8 @@
         state.failures += 1;
         metrics::counter!("fuchsiaslip_retries_total", "reason" => "poll_silent").increment(1);
         if state.failures >= UNRESPONSIVE_AFTER {
-            let silent_ms = sent_ms.saturating_sub(state.last_answer_ms);
-            self.deliver(worker, WorkerUpdate::Silent { silent_ms })
+            let unresponsive_ms = sent_ms.saturating_sub(state.last_answer_ms);
+            self.deliver(worker, WorkerUpdate::Unresponsive { unresponsive_ms })
                 .await;
             // The worker is reported again when it next answers.
             state.reported_epoch = 0;
--- a/src/owner/message.rs
+++ b/src/owner/message.rs
@@ -35,7 +35,7 @@
         submission: Submission,
         /// When the front end received it from the caller, which distinguishes
         /// a delayed copy from a retry with the same key.
-        asked_ms: u64,
+        received_ms: u64,
     },
     /// Reply when the job has ended.
     Wait(JobId),
@@ -107,12 +107,12 @@
     /// Tasks changed their states.
     Changes(Vec<TaskChange>),
     /// The worker does not respond.
-    Silent {
+    Unresponsive {
         /// Time since its lease was last renewed.
-        silent_ms: u64,
+        unresponsive_ms: u64,
     },
     /// The worker responded.
-    Seen {
+    Responded {
         /// Changes with each restart, in which the worker loses its tasks.
         incarnation: u64,
         /// Whether the worker reports that it is leaving.
@@ -158,7 +158,7 @@
     /// The configuration version in force was confirmed to be the current one.
     ConfigurationConfirmed {
         /// When the confirmation was requested; the version was current then.
-        asked_ms: u64,
+        requested_ms: u64,
     },
     /// The platform's list of VMs in this data centre.
     Members(Vec<VmRecord>),
--- a/src/owner/requests.rs
+++ b/src/owner/requests.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RememberedRefusal {
     refusal: Refusal,
-    asked_ms: u64,
+    received_ms: u64,
     refused_ms: u64,
 }
 
@@ -56,8 +56,8 @@
         match request {
             Request::Submit {
                 submission,
-                asked_ms,
-            } => self.submit(token, submission, asked_ms),
+                received_ms,
+            } => self.submit(token, submission, received_ms),
             Request::Wait(job) => self.wait(token, job),
             Request::Explain(job) => {
                 let report = owning.cell.explain(job);
@@ -84,9 +84,9 @@
         }
     }
 
-    fn submit(&mut self, token: u64, submission: Submission, asked_ms: u64) {
+    fn submit(&mut self, token: u64, submission: Submission, received_ms: u64) {
         let now_ms = self.now_ms;
-        if asked_ms + MAX_REQUEST_AGE_MS < now_ms {
+        if received_ms + MAX_REQUEST_AGE_MS < now_ms {
             return self.reply(token, Reply::OutcomeUnknown);
         }
         let key = (
@@ -95,18 +95,18 @@
         );
         // A copy of a refused request that arrives late must not be accepted:
         // the earlier reply said that the job will not run. A retry by the caller
-        // has a later `asked_ms` than the refused request.
+        // has a later `received_ms` than the refused request.
         if let Some(earlier) = self
             .recent_refusals
             .get(&key)
-            .filter(|r| asked_ms <= r.asked_ms)
+            .filter(|r| received_ms <= r.received_ms)
         {
             let refusal = earlier.refusal;
             return self.reply(token, Reply::Refused(refusal));
         }
         if let Some(reason) = self.reason_to_refuse() {
             let reply = self.transient_refusal(&key, reason);
-            self.record_refusal(key, asked_ms, &reply);
+            self.record_refusal(key, received_ms, &reply);
             return self.reply(token, reply);
         }
         self.apply(Command::Submit { token, submission });
@@ -118,7 +118,7 @@
             _ => None,
         });
         if let Some(reply) = immediate_reply {
-            self.record_refusal(key, asked_ms, &reply);
+            self.record_refusal(key, received_ms, &reply);
         }
     }
 
@@ -152,7 +152,7 @@
 
     /// Remembers a refusal that said "not run", so that a late copy of the same
     /// request is refused too.
-    fn record_refusal(&mut self, key: SubmissionKey, asked_ms: u64, reply: &Reply) {
+    fn record_refusal(&mut self, key: SubmissionKey, received_ms: u64, reply: &Reply) {
         let Reply::Refused(refusal) = reply else {
             return;
         };
@@ -169,7 +169,7 @@
         }
         let earlier = RememberedRefusal {
             refusal: *refusal,
-            asked_ms,
+            received_ms,
             refused_ms: now_ms,
         };
         self.recent_refusals.insert(key, earlier);
--- a/src/owner/state.rs
+++ b/src/owner/state.rs
@@ -209,9 +209,9 @@
             Event::Worker { call, result } => self.handle_worker_answer(call, result),
             Event::WorkerUpdate { worker, update } => self.handle_worker_update(&worker, update),
             Event::Configuration(configuration) => self.handle_configuration(configuration),
-            Event::ConfigurationConfirmed { asked_ms } => {
+            Event::ConfigurationConfirmed { requested_ms } => {
                 let confirmed = self.configuration_confirmed_ms.unwrap_or(0);
-                self.configuration_confirmed_ms = Some(confirmed.max(asked_ms));
+                self.configuration_confirmed_ms = Some(confirmed.max(requested_ms));
             }
             Event::Members(members) => self.handle_member_list(members),
             Event::Candidacy(is_candidate) => self.is_candidate = is_candidate,
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -121,15 +121,16 @@
                     self.apply(Command::Member(report));
                 }
             }
-            WorkerUpdate::Silent { silent_ms } => {
+            WorkerUpdate::Unresponsive { unresponsive_ms } => {
                 let lost_after_ms = self.settings.worker_lease_ms + self.settings.worker_margin_ms;
-                if silent_ms >= lost_after_ms && self.health_of(worker) != Some(WorkerHealth::Lost)
+                if unresponsive_ms >= lost_after_ms
+                    && self.health_of(worker) != Some(WorkerHealth::Lost)
                 {
                     events::log(events::WORKER_LOST, format_args!("{worker}"));
                     self.apply(Command::WorkerLost(worker.to_owned()));
                 }
             }
-            WorkerUpdate::Seen {
+            WorkerUpdate::Responded {
                 incarnation,
                 leaving,
             } => self.handle_worker_response(worker, incarnation, leaving),
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -5,6 +5,7 @@
     WorkerStandIn, //
 };
 use crate::backend::{
+    PollAnswerBody,
     StoreAnswer,
     StoreCall,
     TaskBody,
@@ -13,7 +14,6 @@
     VmKind,
     VmRecord,
     WorkerAnswer,
-    WorkerAnswerBody,
     WorkerCall,
     WorkerQuery, //
 };
@@ -583,7 +583,7 @@
                 .map_into_boxed_body()
         }
         WorkerAnswer::Polled(polled) => {
-            let body = WorkerAnswerBody {
+            let body = PollAnswerBody {
                 incarnation: polled.incarnation,
                 leaving: polled.leaving,
                 cursor: polled.cursor,
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -123,7 +123,7 @@
     }
 
     /// Ends a lease at once, as if it had expired.
-    pub fn lapse(&mut self, key: &str) {
+    pub fn expire_lease(&mut self, key: &str) {
         self.leases.remove(key);
     }
 
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -51,8 +51,8 @@
 pub struct Run {
     /// The attempt that the run belongs to.
     pub attempt: AttemptId,
-    /// Time at which the run began, in milliseconds.
-    pub began_ms: u64,
+    /// Time at which the run started, in milliseconds.
+    pub started_ms: u64,
     /// Time at which the run ended, if it has.
     pub ended_ms: Option<u64>,
     /// Whether the run finished with an answer.
@@ -122,13 +122,13 @@
     pub fn handle(&mut self, call: WorkerCall, now_ms: u64) -> Result<WorkerAnswer, WorkerFailure> {
         self.tick(now_ms);
         if self.faults.unreachable {
-            return Err(WorkerFailure::Silent);
+            return Err(WorkerFailure::Unresponsive);
         }
         let is_poll = matches!(call, WorkerCall::Poll { .. });
         let answer = self.execute(call, now_ms);
         if self.faults.lose_answers > 0 && !is_poll {
             self.faults.lose_answers -= 1;
-            return Err(WorkerFailure::Silent);
+            return Err(WorkerFailure::Unresponsive);
         }
         Ok(answer)
     }
@@ -231,7 +231,7 @@
         };
         self.runs.push(Run {
             attempt,
-            began_ms: now_ms,
+            started_ms: now_ms,
             ended_ms: None,
             finished: false,
             mask: task.mask,
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -136,7 +136,7 @@
     pub submission: Submission,
     /// When the front end received it from the caller, in Unix milliseconds.
     #[prost(uint64, tag = "2")]
-    pub asked_ms: u64,
+    pub received_ms: u64,
 }
 
 /// Jobs to cancel.
@@ -168,15 +168,15 @@
     /// [`WorkerUpdate::Changes`].
     #[prost(message, tag = "2")]
     Changes(TasksBody),
-    /// [`WorkerUpdate::Silent`], with its duration in milliseconds.
+    /// [`WorkerUpdate::Unresponsive`], with its duration in milliseconds.
     #[prost(uint64, tag = "3")]
-    Silent(u64),
-    /// [`WorkerUpdate::Seen`].
+    Unresponsive(u64),
+    /// [`WorkerUpdate::Responded`].
     #[prost(message, tag = "4")]
     Seen(SeenBody),
 }
 
-/// Content of [`WorkerUpdate::Seen`]: the worker responded.
+/// Content of [`WorkerUpdate::Responded`]: the worker responded.
 #[derive(Clone, Copy, Eq, PartialEq, prost::Message)]
 pub struct SeenBody {
     /// The worker's incarnation.
@@ -233,7 +233,7 @@
     OutcomeUnknown(bool),
     /// The owner has handled the worker update.
     #[prost(bool, tag = "12")]
-    Taken(bool),
+    UpdateHandled(bool),
     /// The configuration in force at the peer.
     #[prost(message, tag = "13")]
     Configuration(ConfigurationBody),
@@ -308,10 +308,10 @@
         match request {
             Request::Submit {
                 submission,
-                asked_ms,
+                received_ms,
             } => Self::Submit(SubmitBody {
                 submission,
-                asked_ms,
+                received_ms,
             }),
             Request::Wait(job) => Self::Wait(job.0),
             Request::Explain(job) => Self::Explain(job.0),
@@ -332,7 +332,7 @@
         Some(match self {
             Self::Submit(body) => Request::Submit {
                 submission: body.submission,
-                asked_ms: body.asked_ms,
+                received_ms: body.received_ms,
             },
             Self::Wait(job) => Request::Wait(JobId(job)),
             Self::Explain(job) => Request::Explain(JobId(job)),
@@ -411,7 +411,7 @@
             Self::Workers(body) => Reply::Workers(body.workers),
             Self::NotOwner(_) => Reply::NotOwner,
             Self::OutcomeUnknown(_) => Reply::OutcomeUnknown,
-            Self::Taken(_) | Self::Configuration(_) => return None,
+            Self::UpdateHandled(_) | Self::Configuration(_) => return None,
         })
     }
 }
@@ -423,8 +423,10 @@
             WorkerUpdate::Changes(changes) => NewsKind::Changes(TasksBody {
                 tasks: changes.iter().map(TaskBody::from).collect(),
             }),
-            WorkerUpdate::Silent { silent_ms } => NewsKind::Silent(*silent_ms),
-            WorkerUpdate::Seen {
+            WorkerUpdate::Unresponsive { unresponsive_ms } => {
+                NewsKind::Unresponsive(*unresponsive_ms)
+            }
+            WorkerUpdate::Responded {
                 incarnation,
                 leaving,
             } => NewsKind::Seen(SeenBody {
@@ -445,8 +447,10 @@
             NewsKind::Changes(body) => {
                 WorkerUpdate::Changes(body.tasks.into_iter().map(TaskBody::into_change).collect())
             }
-            NewsKind::Silent(silent_ms) => WorkerUpdate::Silent { silent_ms },
-            NewsKind::Seen(body) => WorkerUpdate::Seen {
+            NewsKind::Unresponsive(unresponsive_ms) => {
+                WorkerUpdate::Unresponsive { unresponsive_ms }
+            }
+            NewsKind::Seen(body) => WorkerUpdate::Responded {
                 incarnation: body.incarnation,
                 leaving: body.leaving,
             },
--- a/tests/owner_failures.rs
+++ b/tests/owner_failures.rs
@@ -264,15 +264,17 @@
     [
         Event::Members(vec![worker]),
         Event::Configuration(configuration(configuration_version)),
-        Event::ConfigurationConfirmed { asked_ms: 1_000 },
+        Event::ConfigurationConfirmed {
+            requested_ms: 1_000,
+        },
         Event::Candidacy(true),
     ]
 }
 
-fn submit(submission: Submission, asked_ms: u64) -> Request {
+fn submit(submission: Submission, received_ms: u64) -> Request {
     Request::Submit {
         submission,
-        asked_ms,
+        received_ms,
     }
 }
 
@@ -340,7 +342,7 @@
         Event::Request { token: 1, request },
         1_001,
     );
-    store.lapse("cell/zg-dubrava/owner");
+    store.expire_lease("cell/zg-dubrava/owner");
 
     let mut second = Owner::open(Settings::new("zg-dubrava", "d2", 1 << 40));
     drive(
@@ -526,7 +528,9 @@
     let job = submission("k", "b", "standard", 1, 10);
     let request = submit(job.clone(), stale_ms);
     owner.handle(Event::Request { token: 1, request }, stale_ms);
-    let confirmed = Event::ConfigurationConfirmed { asked_ms: stale_ms };
+    let confirmed = Event::ConfigurationConfirmed {
+        requested_ms: stale_ms,
+    };
     owner.handle(confirmed, stale_ms);
 
     let late = submit(job.clone(), stale_ms - 200);
--- a/tests/patch_faults.rs
+++ b/tests/patch_faults.rs
@@ -63,7 +63,7 @@
 
 /// Returns a membership whose platform never answers.
 fn unresponsive_membership() -> Membership {
-    Membership::from_fn(|_, _| Box::pin(async { ListAnswer::Silent }))
+    Membership::from_fn(|_, _| Box::pin(async { ListAnswer::Unavailable }))
 }
 
 /// Returns a store on which `fault` happens at call number `step`, counted from 0.
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use awc::http::StatusCode;
-use fuchsiaslip::core::read_public_name;
+use fuchsiaslip::core::parse_public_name;
 use fuchsiaslip::standin::TaskSpec;
 use fuchsiaslip::timer::Timer;
 use support::{
@@ -43,7 +43,7 @@
             .unwrap();
 
         let name = response.job.clone().unwrap();
-        let (_, job) = read_public_name(&name).unwrap();
+        let (_, job) = parse_public_name(&name).unwrap();
         assert_eq!(response.status, StatusCode::OK);
         assert_eq!(response.body, TaskSpec::answer(job, &task.payload()));
     }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -732,14 +732,14 @@
         }
     }
 
-    /// Carries out actions until no more follow at the present time.
+    /// Executes actions until no more follow at the present time.
     pub fn settle(&mut self) {
         for _ in 0..50 {
             let actions = self.scheduler.decide(self.now_ms);
             let idle = actions.is_empty();
             for action in actions {
                 self.actions.push(action.clone());
-                self.carry_out(action);
+                self.execute(action);
             }
             if idle && !self.answer_polls() {
                 return;
@@ -774,7 +774,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Poll {
                 callee,
--- a/tests/support/replay.rs
+++ b/tests/support/replay.rs
@@ -438,7 +438,7 @@
             let actions = self.decide();
             let idle = actions.is_empty();
             for action in actions {
-                self.carry_out(action);
+                self.execute(action);
             }
             if idle && !answered {
                 break;
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -185,8 +185,8 @@
         answered
     }
 
-    /// Carries out an action of the scheduler.
-    pub(super) fn carry_out(&mut self, action: Action) {
+    /// Executes an action of the scheduler.
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Poll {
                 callee, last_seen, ..
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -400,12 +400,12 @@
                 match is_lost {
                     true => {
                         self.lost_frames -= 1;
-                        Err(fuchsiaslip::backend::WorkerFailure::Silent)
+                        Err(fuchsiaslip::backend::WorkerFailure::Unresponsive)
                     }
                     false => answer,
                 }
             }
-            _ => Err(fuchsiaslip::backend::WorkerFailure::Silent),
+            _ => Err(fuchsiaslip::backend::WorkerFailure::Unresponsive),
         };
         let delay_ms = match result {
             Ok(_) => WORKER_DELAY_MS,
@@ -526,7 +526,7 @@
                 Ok(WorkerAnswer::Polled(polled)) => {
                     self.last_seen_ms.insert(name.clone(), now_ms);
                     self.cursors.insert(name, polled.cursor);
-                    let seen = WorkerUpdate::Seen {
+                    let responded = WorkerUpdate::Responded {
                         incarnation: polled.incarnation,
                         leaving: polled.leaving,
                     };
@@ -535,7 +535,7 @@
                         owner,
                         Event::WorkerUpdate {
                             worker: reported,
-                            update: seen,
+                            update: responded,
                         },
                     );
                     let changes = WorkerUpdate::Changes(polled.changes);
@@ -549,8 +549,8 @@
                 }
                 _ => {
                     let seen_ms = self.last_seen_ms.get(&name).copied().unwrap_or(now_ms);
-                    let unresponsive = WorkerUpdate::Silent {
-                        silent_ms: now_ms - seen_ms,
+                    let unresponsive = WorkerUpdate::Unresponsive {
+                        unresponsive_ms: now_ms - seen_ms,
                     };
                     self.send_event(
                         owner,
@@ -572,9 +572,9 @@
         }
         for node in 0..self.nodes.len() {
             let configuration = self.configuration.clone();
-            let asked_ms = self.now_ms;
+            let requested_ms = self.now_ms;
             self.send_event(node, Event::Configuration(configuration));
-            self.send_event(node, Event::ConfigurationConfirmed { asked_ms });
+            self.send_event(node, Event::ConfigurationConfirmed { requested_ms });
         }
     }
 
@@ -597,7 +597,7 @@
                 Some(job) => Request::Wait(job),
                 None => Request::Submit {
                     submission: caller.submission.clone(),
-                    asked_ms: self.now_ms,
+                    received_ms: self.now_ms,
                 },
             };
             self.next_token += 1;
@@ -762,10 +762,10 @@
                 }
             }
             let mut runs: Vec<_> = worker.runs.iter().collect();
-            runs.sort_by_key(|run| run.began_ms);
+            runs.sort_by_key(|run| run.started_ms);
             for (index, run) in runs.iter().enumerate() {
                 for later in &runs[index + 1..] {
-                    let overlap = run.ended_ms.is_none_or(|end| end > later.began_ms);
+                    let overlap = run.ended_ms.is_none_or(|end| end > later.started_ms);
                     if overlap && run.mask & later.mask != 0 {
                         self.violations
                             .push(format!("two tasks held one accelerator of {}", worker.name));
