--- a/src/cluster/daemon.rs
+++ b/src/cluster/daemon.rs
@@ -212,8 +212,8 @@
         let node = Node::open(settings, timer, store, workers, machines, control, boot);
         actix_rt::spawn(actions::run(node.clone(), decisions));
         actix_rt::spawn(store_probe::run(node.clone()));
-        actix_rt::spawn(store_watch::operators(node.clone()));
-        actix_rt::spawn(store_watch::members(node.clone()));
+        actix_rt::spawn(store_watch::follow_operator_values(node.clone()));
+        actix_rt::spawn(store_watch::maintain_membership(node.clone()));
         actix_rt::spawn(heartbeat::send(node.clone(), heartbeat_socket.clone()));
         actix_rt::spawn(heartbeat::receive(node.clone(), heartbeat_socket));
         actix_rt::spawn(heartbeat::elect(node.clone()));
--- a/src/cluster/election.rs
+++ b/src/cluster/election.rs
@@ -1,10 +1,10 @@
 //! Decides when a daemon takes over the ownership, from what it knows of the others:
 //! a pure function without clock or network.
 //!
-//! Owners die, freeze, drain, or lose the store, alone or many daemons at once, and
-//! urgent work has about 1.5 s of slack. A takeover is safe at any moment, since the
-//! epoch in the store admits one owner and the workers refuse the orders of an older
-//! one. Waiting only keeps daemons from replacing each other needlessly. So the first
+//! Owners crash, pause, drain or lose the store, one at a time or together with many
+//! other daemons, and urgent work has about 1.5 s of slack. A takeover is safe at any
+//! moment, since each epoch has one owner and the workers refuse orders of an older
+//! epoch. Waiting only keeps daemons from replacing each other needlessly. So the first
 //! candidate waits just long enough to tell an unresponsive owner from a late
 //! heartbeat, and each further candidate waits somewhat longer. A daemon that
 //! receives heartbeats from few of the listed daemons is probably cut off itself and
--- a/src/cluster/inspect.rs
+++ b/src/cluster/inspect.rs
@@ -1,4 +1,4 @@
-//! Reads a fleet's state straight from the store, for people; no daemon has to answer.
+//! Reads a fleet's state directly from the store for display, without calling a daemon.
 
 use super::invalid_values::{
     InvalidReason, //
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -69,7 +69,7 @@
     pub address: SocketAddr,
     /// The incarnation of its process.
     pub boot: u64,
-    /// When this daemon learned that it owns.
+    /// When this daemon learned of its ownership.
     pub learned_ms: u64,
 }
 
@@ -108,14 +108,14 @@
     root_revision: Cell<u64>,
     store_calls: StoreCalls,
     draining: Cell<bool>,
-    behind_since_ms: Cell<Option<u64>>,
+    configuration_behind_since_ms: Cell<Option<u64>>,
     fetching_configuration: Cell<bool>,
     invalid_values: RefCell<InvalidValueReporter>,
     unreadable_jobs: RefCell<BTreeSet<JobId>>,
 }
 
 impl Node {
-    /// Creates the shared state of a daemon that owns nothing yet.
+    /// Creates the shared state of a daemon that is not the owner.
     pub fn open(
         settings: ClusterSettings,
         timer: Timer,
@@ -148,7 +148,7 @@
             root_revision: Cell::new(0),
             store_calls: StoreCalls::open(timer.clone()),
             draining: Cell::new(false),
-            behind_since_ms: Cell::new(None),
+            configuration_behind_since_ms: Cell::new(None),
             fetching_configuration: Cell::new(false),
             invalid_values: RefCell::default(),
             unreadable_jobs: RefCell::default(),
@@ -191,11 +191,11 @@
     pub fn should_fetch_configuration(&self, version: u64) -> bool {
         let now_ms = self.now_ms();
         if version <= self.configuration.borrow().version {
-            self.behind_since_ms.set(None);
+            self.configuration_behind_since_ms.set(None);
             return false;
         }
-        let since_ms = self.behind_since_ms.get().unwrap_or(now_ms);
-        self.behind_since_ms.set(Some(since_ms));
+        let since_ms = self.configuration_behind_since_ms.get().unwrap_or(now_ms);
+        self.configuration_behind_since_ms.set(Some(since_ms));
         let overdue = !self.has_store() || now_ms >= since_ms + CONFIGURATION_LAG_MS;
         overdue && !self.fetching_configuration.replace(true)
     }
@@ -226,7 +226,7 @@
         change(&mut self.emptying_orders.borrow_mut());
     }
 
-    /// Whether the balancer may send new connections to this daemon.
+    /// Whether the load balancer may send new connections to this daemon.
     pub fn is_ready(&self) -> bool {
         let confirmed = !self.is_configuration_stale() || self.eligible_peer().is_some();
         self.configuration.borrow().version > 0 && confirmed && !self.draining.get()
@@ -245,8 +245,8 @@
         self.store_calls.call_store(call).await
     }
 
-    /// Waits for a call, and abandons it if the store turns out to have been down
-    /// since it was made: such a call is never answered.
+    /// Waits for a call, and abandons it once the store has recovered from an outage that
+    /// ended after the call was made: such a call is never answered.
     pub async fn abandon_after_outage<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
@@ -254,7 +254,7 @@
         self.store_calls.abandon_after_outage(call).await
     }
 
-    /// Whether an answer of the store is overdue.
+    /// Whether an answer of the store is overdue or calls fail.
     pub fn is_store_overdue(&self) -> bool {
         self.store_calls.is_overdue()
     }
@@ -313,7 +313,7 @@
     }
 
     /// Records that the values of a job can be decoded now, or are gone.
-    pub fn job_readable(&self, job: JobId) {
+    pub fn record_readable(&self, job: JobId) {
         self.unreadable_jobs.borrow_mut().remove(&job);
     }
 
@@ -327,7 +327,7 @@
         self.draining.get()
     }
 
-    /// The epoch under which this daemon owns; 0 if it does not own.
+    /// The epoch under which this daemon is the owner; 0 if it is not.
     pub fn epoch(&self) -> u64 {
         self.epoch.get()
     }
@@ -399,7 +399,8 @@
         }
     }
 
-    /// Records that a daemon claims to own under `epoch`.
+    /// Records that a daemon claims the ownership under `epoch`. The claim of an epoch
+    /// other than the known owner's is ignored.
     pub fn record_owner_claim(&self, epoch: u64) {
         let known = self.owner.borrow().as_ref().map(|owner| owner.epoch);
         if known == Some(epoch) {
@@ -434,8 +435,8 @@
         self.peer_table.borrow().count()
     }
 
-    /// Whether an incarnation of a daemon has certainly ended, because the daemon has
-    /// a newer one.
+    /// Whether an incarnation of a daemon has certainly ended, because another one of the
+    /// same daemon is known.
     pub fn is_incarnation_over(&self, daemon: &str, boot: u64) -> bool {
         if daemon == self.settings.daemon {
             return boot != self.boot;
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -261,8 +261,8 @@
     metrics::counter!("fuchsiaslip_takeovers_total", "reason" => taken.reason).increment(1);
     actix_rt::spawn(commits::run(node.clone(), epoch));
     actix_rt::spawn(store_watch::reread_waves(node.clone(), epoch));
-    actix_rt::spawn(store_watch::jobs(node.clone(), epoch, jobs.revision));
-    actix_rt::spawn(store_watch::workers(node.clone(), epoch, workers));
+    actix_rt::spawn(store_watch::follow_jobs(node.clone(), epoch, jobs.revision));
+    actix_rt::spawn(store_watch::follow_workers(node.clone(), epoch, workers));
     actix_rt::spawn(unreadable_jobs::reread_jobs(node.clone(), epoch));
     actix_rt::spawn(confirm(node.clone(), epoch));
     Ok(())
--- a/src/cluster/pending_writes.rs
+++ b/src/cluster/pending_writes.rs
@@ -1,11 +1,12 @@
 //! Collects the owner's writes and batches them into transactions, which
 //! [`super::commits`] sends.
 //!
-//! Only the owner writes these values. Each write is conditional on the root's
-//! revision and on the value's own last revision. A transaction whose answer was lost
-//! and that the store carries out seconds later therefore fails: either another owner
-//! has written the root, or the value has a newer revision. Many changes share a
-//! transaction, so the number of calls grows with time, not with the number of tasks.
+//! Only the owner writes these values. Each transaction is conditional on the root's
+//! revision, and each put also on the value's own last revision. So a put whose answer
+//! was lost fails if the store carries it out seconds later: either another owner has
+//! written the root, or the value has a newer revision. A removal is conditional on the
+//! root's revision alone. Many changes share a transaction, so the rate of calls does not
+//! depend on the number of tasks.
 
 use super::records::{
     ClosedRecord,
@@ -158,8 +159,9 @@
         pending.revisions.insert(key.to_owned(), revision);
     }
 
-    /// Records what earlier owners stored of emptied data centres. A record whose order
-    /// is no longer in force is removed; the others stay as they were first stored.
+    /// Takes over the records that earlier owners stored for emptied data centres. A record
+    /// whose order is no longer in force is removed; the others stay as they were first
+    /// stored.
     pub fn record_emptied(&self, found: Vec<StoredEmptied>, in_force: &[EmptyingOrder]) {
         let mut pending = self.pending.borrow_mut();
         for (key, revision, record) in found {
--- a/src/cluster/store_watch.rs
+++ b/src/cluster/store_watch.rs
@@ -55,9 +55,10 @@
 /// reveals a connection that broke without a reset, and a configuration has to be in
 /// force within 2 s.
 const WATCH_WAIT_MS: u64 = 900;
-/// The same for the watches of the jobs by a new owner. Until the scheduler knows
-/// which jobs were stored in the first second, it does not start a job that an
-/// earlier owner may have started. [`WATCH_WAIT_MS`] would delay new jobs as much.
+/// The same for a new owner's watches of the jobs. The scheduler does not start a job
+/// that an earlier owner may have started until it knows all jobs that were stored in
+/// the first second after the takeover. With [`WATCH_WAIT_MS`], new jobs could wait for
+/// that much longer.
 const NEW_OWNER_WATCH_WAIT_MS: u64 = 100;
 /// How long a new owner uses the shorter wait: that first second and some margin.
 const NEW_OWNER_WATCHES_MS: u64 = 1_200;
@@ -77,13 +78,13 @@
 
 /// Follows the operators' values: the configuration, waves of upkeep, and orders to
 /// empty data centres.
-pub async fn operators(node: Rc<Node>) {
+pub async fn follow_operator_values(node: Rc<Node>) {
     let mut revision = None;
     let mut wait_ms = WATCH_WAIT_MS;
     loop {
         let outcome = match revision {
-            // A read sent during an outage of the store would wait for its own
-            // timeout: daemons received the configuration a second later than others.
+            // Otherwise a read sent during an outage of the store would wait for its own
+            // timeout, and the configuration would arrive up to a second late.
             None => node.abandon_after_outage(read_operators(&node)).await,
             Some(revision) => {
                 let watch = watch_operators(&node, revision, wait_ms);
@@ -143,7 +144,8 @@
 }
 
 /// Reads the waves of upkeep again after a takeover. The watch ignores a wave that is
-/// written between the reads of the takeover and the moment this daemon owns.
+/// written between the reads of the takeover and the moment this daemon becomes the
+/// owner.
 pub async fn reread_waves(node: Rc<Node>, epoch: u64) {
     while node.epoch() == epoch {
         let read = async {
@@ -217,7 +219,7 @@
 }
 
 /// Keeps this daemon in the member list, and reads the list.
-pub async fn members(node: Rc<Node>) {
+pub async fn maintain_membership(node: Rc<Node>) {
     let (mut lease, mut next_list_ms) = (0, 0);
     loop {
         let mut result = node.call_store(renew_membership(&node, &mut lease)).await;
@@ -246,7 +248,8 @@
     }
 }
 
-/// Renews the lease of this daemon's entry, and writes the entry again if it is gone.
+/// Renews the lease of this daemon's entry. If the lease has expired, writes the entry
+/// again under a new one.
 async fn renew_membership(node: &Node, lease: &mut u64) -> Result<(), StoreError> {
     if *lease != 0 && !node.store.renew_lease(*lease).await? {
         *lease = 0;
@@ -324,7 +327,7 @@
 
 /// Follows stored and cancelled jobs while this daemon owns. Other daemons send them
 /// to the owner directly as well, but those messages may be lost.
-pub async fn jobs(node: Rc<Node>, epoch: u64, from_revision: u64) {
+pub async fn follow_jobs(node: Rc<Node>, epoch: u64, from_revision: u64) {
     let began_ms = node.now_ms();
     let mut revision = from_revision;
     while node.epoch() == epoch {
@@ -391,7 +394,7 @@
 }
 
 /// Follows the workers' registrations while this daemon owns.
-pub async fn workers(node: Rc<Node>, epoch: u64, range: StoredRange) {
+pub async fn follow_workers(node: Rc<Node>, epoch: u64, range: StoredRange) {
     let mut revision = range.revision;
     let mut known: BTreeSet<String> = range.items.into_iter().map(|item| item.key).collect();
     while node.epoch() == epoch {
--- a/src/cluster/submit.rs
+++ b/src/cluster/submit.rs
@@ -1,10 +1,10 @@
 //! Stores accepted jobs and cancellations, and answers queries for jobs.
 //!
 //! Any daemon stores a job itself, so jobs are accepted while the owner changes. The
-//! store's answer decides. A job is accepted if its commit was carried out or its key
-//! already exists. It is not accepted if the store refused it before anything was sent.
-//! If the store did not answer, the outcome is unknown, and the client retries with the
-//! same job name.
+//! outcome follows from the store's answer. A job is accepted if its commit was carried
+//! out or its key already exists. It is not accepted if the store refused it before
+//! anything was sent. If the store did not answer, the outcome is unknown, and the client
+//! retries with the same job name.
 
 use super::invalid_values::StoredKind;
 use super::node::Node;
--- a/src/cluster/unreadable_jobs.rs
+++ b/src/cluster/unreadable_jobs.rs
@@ -2,7 +2,7 @@
 //! the value.
 //!
 //! No task of such a job starts meanwhile. The job's record and progress are sent to the
-//! scheduler together: a repaired record alone would make a job without its progress.
+//! scheduler together: with the record alone, tasks that are done would run again.
 //! A job whose record was removed counts as cancelled.
 
 use super::invalid_values::StoredKind;
@@ -42,7 +42,7 @@
             // A job that the store does not answer for is read again in the next round.
             match read_job(&node, job).await {
                 Ok(Some(input)) if node.epoch() == epoch => {
-                    node.job_readable(job);
+                    node.record_readable(job);
                     node.control.send_input(epoch, input);
                 }
                 _ => {}
--- a/src/events.rs
+++ b/src/events.rs
@@ -31,7 +31,7 @@
 }
 
 events! {
-    /// The daemon serves.
+    /// The daemon accepts requests.
     DAEMON_STARTED = 100, Info, "the daemon serves callers and peers", "none";
     /// The daemon starts to drain.
     DRAIN_STARTED = 101, Info, "the daemon accepts no new work and hands over what it has", "wait for E102";
@@ -51,7 +51,7 @@
     OWNER_FENCED = 201, Warn, "another owner has written the ledger; this daemon is no longer the owner", "none, unless it repeats: then check for paused VMs";
     /// This daemon gave up the ownership.
     OWNER_RESIGNED = 202, Info, "this daemon handed the ownership over", "none";
-    /// The lease could not be renewed in time.
+    /// The owner's lease could not be renewed in time.
     LEASE_UNCERTAIN = 203, Warn, "the owner's lease could not be renewed; nothing new starts until it is renewed", "check the key-value service";
     /// A ledger value cannot be read.
     LEDGER_DAMAGED = 204, Error, "a ledger value cannot be read; no owner starts", "run `fuchsiaslip ledger check` and restore the value named there";
@@ -91,7 +91,7 @@
     ENTRY_INVALID = 311, Warn, "the entry of a known worker is invalid; the worker gets no new work, its runs go on", "find the E205 of the entry's key and who writes it besides the worker";
     /// The entry is valid again.
     ENTRY_VALID = 312, Info, "the entry of a worker is valid again", "none";
-    /// A crash of a worker counts against a run.
+    /// A crash of a worker was counted for one of its runs.
     CRASH_COUNTED = 313, Info, "a worker crashed while it had a run; at_start means that it did not respond after the start", "none, unless one task is named repeatedly: then E324 follows";
     /// The workers' entries are stale.
     ENTRIES_STALE = 314, Warn, "the workers' entries could not be read for too long; until they are read, workers that do not check their own capacity get nothing new", "check the key-value service and the network between it and the owner";
@@ -103,7 +103,7 @@
     JOB_ENDED = 321, Info, "a job ended", "none";
     /// The tasks of a job may start.
     JOB_READY = 322, Info, "the tasks of a job may start from now on", "none";
-    /// The queue of a job is unknown.
+    /// The terms of a job are unknown.
     TERMS_UNKNOWN = 323, Info, "a job waits because this owner knows neither its queue nor the terms under which it was accepted", "declare the queue again, and find out why the owner has no newer configuration";
     /// A task crashes its workers.
     TASK_CRASHES_WORKERS = 324, Warn, "a task crashes the workers that start it and is given up; its job fails", "inform the account; the E313 lines of the task name the workers";
--- a/src/platform/registration.rs
+++ b/src/platform/registration.rs
@@ -1,7 +1,7 @@
 //! Decodes the entries under which workers register themselves in the store.
 //!
-//! Other writers may write under the same prefix, so an entry is valid only if it looks
-//! as workers write it:
+//! Other writers may write under the same prefix, so an entry is valid only if it has the
+//! form in which workers write entries:
 //!
 //! - The worker's name, which is the key after
 //!   [`WORKERS_PREFIX`](super::WORKERS_PREFIX), consists of letters, digits and `-_.:~@`,
@@ -60,7 +60,8 @@
 const MAX_MEMORY_MB: u32 = 1 << 27;
 /// Most accelerators of one worker.
 const MAX_ACCELERATORS: u32 = 10_000;
-/// Largest value of the other numbers; larger integers are not exact in JSON.
+/// Largest value of the other numbers; not all larger integers can be represented exactly
+/// as `f64`.
 const MAX_NUMBER: f64 = (1u64 << 53) as f64;
 
 /// Why an entry is invalid.
@@ -237,17 +238,19 @@
 
 impl WorkerBody {
     fn check(&self) -> Result<(), WorkerEntryError> {
-        if !is_plain(&self.service) {
+        if !is_valid_text(&self.service) {
             return Err(WorkerEntryError::Service);
         }
-        if !is_plain(&self.zone) {
+        if !is_valid_text(&self.zone) {
             return Err(WorkerEntryError::DataCentre);
         }
         if !is_callable(&self.address) {
             return Err(WorkerEntryError::Address);
         }
         let count = self.labels.len();
-        if !(1..=MAX_LABELS).contains(&count) || !self.labels.iter().all(|label| is_plain(label)) {
+        if !(1..=MAX_LABELS).contains(&count)
+            || !self.labels.iter().all(|label| is_valid_text(label))
+        {
             return Err(WorkerEntryError::Labels);
         }
         let numbers = [
@@ -297,7 +300,7 @@
 }
 
 /// Returns whether a string can be a name: not blank, not too long, no control characters.
-fn is_plain(text: &str) -> bool {
+fn is_valid_text(text: &str) -> bool {
     let blank = text.trim().is_empty();
     !blank && text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control)
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -138,9 +138,9 @@
     }
 }
 
-/// Returns the part of a value's base64 that is decoded. An oversized worker's entry is cut
-/// just above the limit, where it is still recognized as too long: if a tenth of a large
-/// fleet's entries had a megabyte each, they would not fit into a VM's memory.
+/// Returns the part of a value's base64 that is decoded. An oversized entry of a worker is
+/// cut just above the limit, where it is still recognized as too long: if a tenth of a
+/// large fleet's entries had a megabyte each, they would not fit into a VM's memory.
 fn truncated<'a>(key: &str, text: &'a [u8]) -> &'a [u8] {
     const BYTES_PER_BLOCK: usize = 3;
     const CHARS_PER_BLOCK: usize = 4;
@@ -151,9 +151,10 @@
     }
 }
 
-/// Escapes a string for the query of a URL. Keys of other writers may contain characters
-/// that end a query or one of its fields; the page after such a key would not be found.
-fn query_text(text: &str) -> String {
+/// Percent-encodes a string for the query of a URL. Keys of other writers may contain
+/// characters that end a query or one of its fields; without the encoding, the page after
+/// such a key would be requested with a wrong key.
+fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
@@ -165,7 +166,7 @@
     escaped
 }
 
-/// Client of the store. It stays on one thread.
+/// Client of the store. It cannot be sent to another thread.
 #[derive(Clone)]
 pub struct StoreClient {
     http: HttpClient,
@@ -191,13 +192,13 @@
     ///
     /// The store refused or did not answer.
     pub async fn get(&self, key: &str) -> Result<Option<StoredItem>, StoreError> {
-        let url = self.url(&format!("kv-key?key={}", query_text(key)));
+        let url = self.url(&format!("kv-key?key={}", percent_encode(key)));
         let answer = self.http.call(Method::GET, url, &[], None, CALL_TIMEOUT_MS);
-        let (status, body) = received(answer.await)?;
+        let (status, body) = store_answer(answer.await)?;
         match status {
             StatusCode::OK => Ok(Some(decode::<ItemBody>(&body)?.into_item())),
             StatusCode::NOT_FOUND => Ok(None),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 
@@ -209,36 +210,36 @@
     pub async fn probe(&self, timeout_ms: u64) -> Result<(), StoreError> {
         let url = self.url("kv-key?key=probe&serializable=1");
         let answer = self.http.call(Method::GET, url, &[], None, timeout_ms);
-        match received(answer.await)?.0 {
+        match store_answer(answer.await)?.0 {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 
     /// Reads the values under `prefix`, page by page. The pages are not a snapshot: a watch
-    /// from the returned revision shows what has changed meanwhile. If `stale`, the values
-    /// need not be the newest ones.
+    /// from the returned revision shows what has changed meanwhile. If `allow_stale`, the
+    /// values need not be the newest ones.
     ///
     /// # Errors
     ///
     /// The store refused or did not answer.
-    pub async fn range(&self, prefix: &str, stale: bool) -> Result<StoredRange, StoreError> {
+    pub async fn range(&self, prefix: &str, allow_stale: bool) -> Result<StoredRange, StoreError> {
         let mut range = StoredRange::default();
         let mut after = String::new();
         loop {
-            let mut call = format!("kv-range?prefix={}", query_text(prefix));
-            if stale {
+            let mut call = format!("kv-range?prefix={}", percent_encode(prefix));
+            if allow_stale {
                 call.push_str("&serializable=1");
             }
             if !after.is_empty() {
-                call.push_str(&format!("&after={}", query_text(&after)));
+                call.push_str(&format!("&after={}", percent_encode(&after)));
             }
             let answer = self
                 .http
                 .call(Method::GET, self.url(&call), &[], None, CALL_TIMEOUT_MS);
-            let (status, body) = received(answer.await)?;
+            let (status, body) = store_answer(answer.await)?;
             if status != StatusCode::OK {
-                return Err(failure_of(status));
+                return Err(error_of_status(status));
             }
             let page: RangeBody = decode(&body)?;
             if range.items.is_empty() && after.is_empty() {
@@ -267,7 +268,7 @@
         revision: u64,
         wait_ms: u64,
     ) -> Result<WatchResult, StoreError> {
-        let prefix = query_text(prefix);
+        let prefix = percent_encode(prefix);
         let call = format!("kv-watch?prefix={prefix}&after={revision}&wait_ms={wait_ms}");
         let timeout_ms = wait_ms + WATCH_SLACK_MS;
         let answer = self
@@ -278,7 +279,7 @@
             // A repeated watch would be as long, whereas the pages of a range are bounded.
             return Ok(WatchResult::HistoryGone);
         }
-        let (status, body) = received(answer)?;
+        let (status, body) = store_answer(answer)?;
         match status {
             StatusCode::OK => {
                 let body: WatchBody = decode(&body)?;
@@ -297,7 +298,7 @@
                 })
             }
             StatusCode::GONE => Ok(WatchResult::HistoryGone),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 
@@ -345,7 +346,7 @@
             &body,
             timeout_ms.min(CALL_TIMEOUT_MS),
         );
-        let (status, body) = received(answer.await)?;
+        let (status, body) = store_answer(answer.await)?;
         match status {
             StatusCode::OK => Ok(CommitResult::Done {
                 revision: decode::<RevisionBody>(&body)?.revision,
@@ -359,7 +360,7 @@
                 ))
             }
             StatusCode::NOT_FOUND => Ok(CommitResult::LeaseExpired),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 
@@ -373,10 +374,10 @@
         let answer = self
             .http
             .post(self.url("kv-lease"), &[], &body, CALL_TIMEOUT_MS);
-        let (status, body) = received(answer.await)?;
+        let (status, body) = store_answer(answer.await)?;
         match status {
             StatusCode::OK => Ok(decode::<LeaseBody>(&body)?.lease),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 
@@ -390,11 +391,11 @@
         let answer = self
             .http
             .call(Method::POST, url, &[], None, CALL_TIMEOUT_MS);
-        let (status, _) = received(answer.await)?;
+        let (status, _) = store_answer(answer.await)?;
         match status {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            other => Err(failure_of(other)),
+            other => Err(error_of_status(other)),
         }
     }
 }
@@ -406,7 +407,7 @@
     (!name.is_empty()).then_some(name)
 }
 
-fn received(
+fn store_answer(
     answer: Result<(StatusCode, Bytes), CallFailure>,
 ) -> Result<(StatusCode, Bytes), StoreError> {
     answer.map_err(|failure| match failure {
@@ -415,7 +416,7 @@
     })
 }
 
-fn failure_of(status: StatusCode) -> StoreError {
+fn error_of_status(status: StatusCode) -> StoreError {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => StoreError::Refused,
         status if status.is_client_error() => StoreError::Refused,
--- a/src/scheduler/acknowledgement.rs
+++ b/src/scheduler/acknowledgement.rs
@@ -85,7 +85,11 @@
 
     /// Applies the ends that were listed before their job was known or readable.
     pub(super) fn handle_early_ends(&mut self, id: JobId) {
-        let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
+        let waiting: Vec<WorkerKey> = self
+            .workers_with_unacknowledged_ends
+            .iter()
+            .copied()
+            .collect();
         for key in waiting {
             for at in 0..self.worker(key).unacknowledged_ends.len() {
                 let end = &self.worker(key).unacknowledged_ends[at];
@@ -106,7 +110,11 @@
     /// Acknowledges ends whose condition now holds, after more became durable or known: a
     /// worker of which all ends may be acknowledged is polled at once.
     pub(super) fn acknowledge_ends(&mut self) {
-        let waiting: Vec<WorkerKey> = self.with_unacknowledged_ends.iter().copied().collect();
+        let waiting: Vec<WorkerKey> = self
+            .workers_with_unacknowledged_ends
+            .iter()
+            .copied()
+            .collect();
         for key in waiting {
             if self.advance_last_seen(key) {
                 let now_ms = self.now_ms;
@@ -133,7 +141,7 @@
                 self.report_released_end(key, end.row.name, "job_not_stored");
             }
         }
-        self.with_unacknowledged_ends.remove(&key);
+        self.workers_with_unacknowledged_ends.remove(&key);
         true
     }
 
@@ -161,7 +169,7 @@
 
     /// Counts the reported ends that have not been acknowledged yet.
     pub fn unacknowledged_end_count(&self) -> usize {
-        let waiting = self.with_unacknowledged_ends.iter();
+        let waiting = self.workers_with_unacknowledged_ends.iter();
         waiting
             .map(|&key| self.worker(key).unacknowledged_ends.len())
             .sum()
--- a/src/scheduler/closed_workers.rs
+++ b/src/scheduler/closed_workers.rs
@@ -34,7 +34,7 @@
 /// Failed polls after which a worker is closed if a suspect was just started on it. If
 /// the owner changes before the worker is stored as closed, the next owner does not learn
 /// of the crash.
-const CLOSE_AFTER_TRIAL_POLLS: u32 = 1;
+const CLOSE_AFTER_POLLS_WITH_SUSPECT: u32 = 1;
 /// Time since the last confirmation of the epoch within which the store counts as
 /// answering: twice the interval between confirmations.
 const STORE_ANSWER_MAX_AGE_MS: u64 = 1_200;
@@ -46,8 +46,8 @@
         let store_is_answering = self.now_ms < self.confirmed_ms + STORE_ANSWER_MAX_AGE_MS;
         let worker = self.worker_mut(key);
         let mut runs = worker.runs.values();
-        let polls_to_close = match runs.any(|run| run.on_trial && run.is_start_unproven()) {
-            true => CLOSE_AFTER_TRIAL_POLLS,
+        let polls_to_close = match runs.any(|run| run.suspected && run.is_start_unproven()) {
+            true => CLOSE_AFTER_POLLS_WITH_SUSPECT,
             false => CLOSE_AFTER_POLLS,
         };
         let unresponsive = worker.contact == Contact::Unresponsive
--- a/src/scheduler/crashes.rs
+++ b/src/scheduler/crashes.rs
@@ -6,34 +6,37 @@
 //! for each run that a worker had when its incarnation exited. The count is stored before
 //! the task starts again, so that the next owner continues from it.
 //!
-//! Workers also crash for other reasons, and at most one of the tasks on a worker may be
-//! the cause:
+//! Workers also crash for other reasons, and at most one of the tasks on a worker caused
+//! its crash. These rules narrow down the cause:
 //!
 //! - Only a run that its worker confirmed counts.
 //! - A run whose worker still responded some time after the start did not crash it by
-//!   starting. All other confirmed runs make their tasks suspects.
-//! - A run that, by its reported progress, was expected to end before the latest time at
-//!   which the worker may have exited is never the only suspect: polls can hang from before
-//!   the end of a run until after a restart, so the end may not have been seen. The next
-//!   incarnation reports its start time, by which the previous one had exited.
-//! - A suspect starts where the least work is lost with it, apart from suspects of other
-//!   jobs, and for a while nothing else starts on that worker. So the next crashes show
-//!   which of the tasks that were lost together is the cause, and clear the others.
+//!   starting. The tasks of all other confirmed runs become suspects.
+//! - A task is the only suspect of a crash if all suspects belong to its job. But its run
+//!   may have ended unseen before the crash, since a poll can hang from before the end
+//!   until after the restart. So it is never the only suspect if the run, by its reported
+//!   progress, was expected to end by the latest time at which the worker may have exited.
+//!   That is the start time of the next incarnation, or the present if it is unknown.
+//! - A suspect starts on the worker with the fewest runs that could be lost with it, but
+//!   not beside a suspect of another job, and for a while nothing else starts on that
+//!   worker. So the next crashes show which of the tasks that were lost together is the
+//!   cause, and clear the others.
 //! - Workers that go down and come up repeatedly are empty when they are back and would
 //!   attract tasks. A task that was lost once starts elsewhere, if there is capacity.
-//! - Members of a gang end together once it has made progress. After one of them has
-//!   listed an end of its own, later crashes of workers are not counted for the others.
+//! - The members of a gang end together once it has made progress. After one of them is
+//!   listed as having ended by itself, later crashes of workers are not counted for the
+//!   others.
 //! - A worker that was draining, or whose lease only expired, has not crashed. Whether an
 //!   unresponsive worker has crashed is known once another incarnation answers at its
 //!   address.
 //!
 //! A task is given up after the second crash at its start as the only suspect, the third
-//! crash at its start, or the fifth crash at any time. After three crashes a task may be
-//! started at most twice more, and a crash is not counted if the answer to the start was
-//! lost or if the owner changed at once. So for a job that an earlier owner knew, the
-//! limits of three and five are lower by one. If many workers crash for other reasons,
-//! some sound tasks are given up too. Long-running tasks see many workers
-//! end, so they are judged by the crashes at their starts alone.
+//! crash at its start, or the fifth crash at any time: after three crashes a task may be
+//! started at most twice more. A crash is not counted if the answer to the start was lost,
+//! or if the owner changed directly after the start. So for a job that an earlier owner
+//! knew, the limits of three and five are lower by one. If many workers crash for other
+//! reasons, some tasks without a fault are given up too. A long-running task outlives many
+//! workers, so only the crashes at its starts count.
 
 use super::action::{
     Decision,
@@ -60,10 +63,10 @@
 const START_SURVIVAL_MS: u64 = 1_000;
 /// Time for which nothing else starts on a worker after a suspect was started. A run
 /// started in that time would be lost with the suspect and become a suspect as well.
-const TRIAL_MS: u64 = 1_000;
+const SUSPECT_RESERVATION_MS: u64 = 1_000;
 /// At most one worker in this many is reserved for suspects, so that after a loss of many
 /// workers with recently started runs the others still take work.
-const TRIAL_SHARE: usize = 4;
+const WORKERS_PER_SUSPECT_RESERVATION: usize = 4;
 
 /// Time after a crash for which a worker at the same address is assumed to go down and
 /// come up repeatedly.
@@ -72,8 +75,8 @@
 /// Epoch of the first owner, and of an owner that finds no root in the store.
 const FIRST_EPOCH: u64 = 1;
 
-/// Crashes at the start of a task, the last of them as the only suspect, after which it is
-/// given up.
+/// Crashes at the start of a task after which it is given up, if all suspects of the last
+/// crash belonged to its job.
 const CRASH_LIMIT_AS_ONLY_SUSPECT: usize = 2;
 /// Crashes at the start of a task after which it is given up, even if it was never the
 /// only suspect.
@@ -218,9 +221,9 @@
         true
     }
 
-    /// Returns why the task is given up, if it is. `only_suspect` is whether it was the
-    /// only suspect of the last crash, and `uncounted` is the number of crashes that this
-    /// owner may not know of.
+    /// Returns why the task is given up, if it is. `only_suspect` is whether all suspects
+    /// of the last crash belonged to its job, and `uncounted` is the number of crashes
+    /// that this owner may not know of.
     fn give_up_reason(
         &self,
         only_suspect: bool,
@@ -292,8 +295,8 @@
         }
     }
 
-    /// Counts crashes for the lost runs of a worker that had only left, now that another
-    /// incarnation answers at its address.
+    /// Counts crashes for the runs that were lost with a worker of which it was not known
+    /// whether it had crashed, now that another incarnation answers at its address.
     pub(super) fn count_crashes_of_replaced(&mut self, key: WorkerKey, exit_ms: u64) {
         let worker = self.worker(key);
         if worker.contact == Contact::Gone && !worker.lost.is_empty() {
@@ -336,7 +339,8 @@
         }
         let crashes = task.crashes.len() as u32;
         let crashes_at_start = task.crashes_at_start() as u32;
-        let verdict = task.give_up_reason(only_suspect && at_start, uncounted, is_long_running);
+        let give_up_reason =
+            task.give_up_reason(only_suspect && at_start, uncounted, is_long_running);
         let failures = task.failed_runs.len() as u32;
         let worker = self.worker(key).name();
         self.decided(Decision::CrashCounted {
@@ -351,7 +355,7 @@
         if at_start && let Some(group) = self.groups.get_mut(&group_key) {
             group.crash_change = change;
         }
-        if let Some(reason) = verdict {
+        if let Some(reason) = give_up_reason {
             self.decided(Decision::TaskGivenUp {
                 name,
                 crashes,
@@ -408,16 +412,16 @@
 
     /// Whether a waiting task of the group is a suspect. All tasks of the group then start as
     /// suspects.
-    pub(super) fn is_on_trial(&self, key: GroupKey) -> bool {
+    pub(super) fn has_waiting_suspect(&self, key: GroupKey) -> bool {
         let mut tasks = self.groups[&key].tasks.iter();
         tasks.any(|task| task.state == TaskState::Waiting && task.is_suspect())
     }
 
     /// Whether a suspect of another job was just started on a worker and has not survived
     /// its start yet.
-    pub(super) fn has_other_suspect_on_trial(&self, key: WorkerKey, job: JobId) -> bool {
+    pub(super) fn has_starting_suspect_of_other_job(&self, key: WorkerKey, job: JobId) -> bool {
         let mut runs = self.worker(key).runs.iter();
-        runs.any(|(name, run)| run.on_trial && !run.survived_start && name.task.job != job)
+        runs.any(|(name, run)| run.suspected && !run.survived_start && name.task.job != job)
     }
 
     /// Whether an earlier incarnation at a worker's address crashed recently. Some workers go
@@ -434,24 +438,24 @@
 
     /// Reserves a worker for a suspect for a while, unless too many workers are reserved;
     /// returns whether the worker is reserved.
-    pub(super) fn reserve_for_trial(&mut self, key: WorkerKey) -> bool {
+    pub(super) fn reserve_for_suspect(&mut self, key: WorkerKey) -> bool {
         let now_ms = self.now_ms;
         let is_reserved = |until_ms: u64| now_ms < until_ms;
-        if is_reserved(self.worker(key).trial_until_ms) {
+        if is_reserved(self.worker(key).suspects_only_until_ms) {
             return true;
         }
         let workers = self.workers.iter();
         let answering = workers.filter(|worker| worker.contact == Contact::Answering);
-        let (count, on_trial) = answering.fold((0usize, 0usize), |(count, on_trial), worker| {
+        let (count, reserved) = answering.fold((0usize, 0usize), |(count, reserved), worker| {
             (
                 count + 1,
-                on_trial + usize::from(is_reserved(worker.trial_until_ms)),
+                reserved + usize::from(is_reserved(worker.suspects_only_until_ms)),
             )
         });
-        if on_trial > 0 && (on_trial + 1) * TRIAL_SHARE > count {
+        if reserved > 0 && (reserved + 1) * WORKERS_PER_SUSPECT_RESERVATION > count {
             return false;
         }
-        self.worker_mut(key).trial_until_ms = now_ms + TRIAL_MS;
+        self.worker_mut(key).suspects_only_until_ms = now_ms + SUSPECT_RESERVATION_MS;
         true
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -49,7 +49,7 @@
         group.tasks[index as usize].last_run = run;
         let step = group.step.clone();
         let waited_ms = now_ms.saturating_sub(group.released_ms);
-        let on_trial = group.tasks[index as usize].is_suspect();
+        let suspected = group.tasks[index as usize].is_suspect();
         let entry = super::Run {
             group: group_key,
             resources: group.resources,
@@ -59,7 +59,7 @@
             confirmed: false,
             survived_start: false,
             gang_ended: false,
-            on_trial,
+            suspected,
             sends: 0,
             in_flight: false,
             resend_ms: now_ms,
--- a/src/scheduler/emptying.rs
+++ b/src/scheduler/emptying.rs
@@ -1,12 +1,12 @@
 //! Empties data centres on the operators' order.
 //!
 //! Load pattern: operators order, for some seconds or for good, that the workers of a
-//! data centre get no new tasks, and expect that within some seconds, while jobs keep
-//! coming. From the moment at which the order is known, nothing is started there, and all
-//! calculations of capacity leave the data centre out. Runs there end by themselves: to
-//! stop them would lose work, which the order does not ask for. Limits: an order that is
-//! not known yet is not obeyed, so an owner that has not read the orders for too long
-//! starts nothing anywhere.
+//! data centre get no new tasks, and expect the order to take effect within some seconds,
+//! while jobs keep coming. From the moment at which the order is known, nothing is started
+//! there, and all calculations of capacity leave the data centre out. Runs there end by
+//! themselves: to stop them would lose work, which the order does not ask for. Limits: an
+//! order that is not known yet is not obeyed, so an owner that has not read the orders for
+//! too long starts nothing anywhere.
 
 use super::action::{
     Action,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -23,7 +23,7 @@
 /// A worker that crashed lately in an earlier incarnation, for a group of which a task
 /// was lost in a crash before.
 const CRASH_PRONE_COST: f64 = 10_000.0;
-/// Each run that would be lost if the task, which is on trial, crashed the worker.
+/// Each run that would be lost if the task, which is a suspect, crashed the worker.
 const LOST_RUN_COST: f64 = 1_000.0;
 /// Slowness of a worker, for work with little slack: a worker on which the task takes
 /// half as long again costs as much as six accelerators left free.
@@ -85,7 +85,7 @@
     /// Whether the tasks serve users under a target for their response times.
     pub serves: bool,
     /// Whether the tasks are suspected of crashing their workers.
-    pub on_trial: bool,
+    pub suspected: bool,
     /// Whether the group lost a task in a crash before and this worker crashed lately in
     /// an earlier incarnation.
     pub crash_prone: &'a dyn Fn(WorkerKey) -> bool,
@@ -135,7 +135,7 @@
         if (self.crash_prone)(candidate.worker) {
             cost += CRASH_PRONE_COST;
         }
-        if self.on_trial {
+        if self.suspected {
             cost += LOST_RUN_COST * f64::from(candidate.runs);
         }
         if self.avoid.contains(&candidate.worker) {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -4,12 +4,12 @@
 //! of its urgent jobs needs them back within a few seconds, the time to stop the victims
 //! included. The victims are chosen in the pass in which the group finds no free
 //! capacity: those with the least loss, until all its waiting tasks fit. The loss is
-//! counted in utility: the work thrown away, at the mean utility of the fleet's work,
-//! and the utility that the victim's job loses by ending later. Urgent work beyond its
-//! account's guarantee preempts only if it is then on time and gains more utility than
-//! is lost. Limits: long-running work is never preempted, resources that are being freed
-//! or soon will be are used first, and a group preempts again only after its victims
-//! have had time to stop.
+//! measured in utility: the work that is lost, valued at the mean utility of the fleet's
+//! work, plus the utility that the victim's job loses by ending later. Urgent work beyond
+//! its account's guarantee preempts only if it is then on time and gains more utility than
+//! is lost. Limits: long-running work is never preempted, resources that are being freed,
+//! or that are expected to become free as soon as a stop would free others, are used
+//! first, and a group preempts again only after its victims have had time to stop.
 
 use super::action::StopReason;
 use super::ordering::{
@@ -43,7 +43,8 @@
 /// A run that may be preempted.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
-    /// Utility that is lost if it stops, its whole gang included.
+    /// Utility that is lost if it stops, its whole gang included, multiplied by one plus
+    /// the number of earlier preemptions of its group.
     loss: f64,
     name: RunName,
     resources: Resources,
@@ -72,8 +73,8 @@
     slot: Slot,
 }
 
-/// The runs of a candidate that may still be preempted, as slots are taken from it one by
-/// one.
+/// The runs of a candidate that may still be preempted, and its free resources. Each slot
+/// that is taken updates both.
 struct ReclaimableRuns {
     candidate: usize,
     worker: WorkerKey,
@@ -123,8 +124,8 @@
         self.slots_left -= 1;
     }
 
-    /// Sets the loss of a gang's members here to 0, because the gang ends anyway. Returns
-    /// whether there are any.
+    /// Sets the loss of a gang's members on this candidate to 0, because the gang ends
+    /// anyway. Returns whether the candidate has any.
     fn mark_gang_ended(&mut self, gang: GroupKey) -> bool {
         let members = self.victims.iter_mut();
         let mut any = false;
@@ -165,7 +166,7 @@
             return false;
         };
         let resources = self.groups[&ranked.key].resources;
-        let settle_ms = self.now_ms + self.tuning.settle_ms();
+        let preempt_at_ms = self.now_ms + self.tuning.settle_ms();
         let mut stops = Vec::new();
         let mut claims: BTreeMap<WorkerKey, u32> = BTreeMap::new();
         for Choice {
@@ -181,7 +182,7 @@
         if !stops.is_empty()
             && let Some(group) = self.groups.get_mut(&ranked.key)
         {
-            group.preempt_at_ms = settle_ms;
+            group.preempt_at_ms = preempt_at_ms;
             group.claims = claims.into_iter().collect();
         }
         for (worker, name) in stops {
@@ -219,9 +220,9 @@
         let slowest = slots.map(|at| candidates[at].slowness).fold(0.0, f64::max);
         let run_ms = (group.run_time.value() * slowest) as u64;
         let end_ms = self.now_ms + self.tuning.stop_ms + run_ms;
-        let part = group.objective().part_at(end_ms) - LATE_PART;
-        let net = self.utility_of_job(ranked.key.job) * part - total_loss(&chosen);
-        (net > 0.0 || ranked.tier == Tier::Guaranteed).then_some(chosen)
+        let gained_part = group.objective().part_at(end_ms) - LATE_PART;
+        let net_gain = self.utility_of_job(ranked.key.job) * gained_part - total_loss(&chosen);
+        (net_gain > 0.0 || ranked.tier == Tier::Guaranteed).then_some(chosen)
     }
 
     /// Subtracts the resources that are being freed for a group from the candidates.
@@ -240,8 +241,9 @@
         }
     }
 
-    /// Returns the cheapest slots for `count` tasks, on one rack if the request asks for
-    /// that and they exist.
+    /// Returns the cheapest slots for `count` tasks. If the request asks for a single rack
+    /// or has a data rack, slots on that one rack are preferred, and others are returned
+    /// only if the request allows them.
     fn cheapest_slots(
         &self,
         ranked: Ranked,
@@ -250,7 +252,7 @@
         count: usize,
     ) -> Option<Vec<Choice>> {
         let all: Vec<usize> = (0..candidates.len()).collect();
-        let mut regions: Vec<Vec<usize>> = Vec::new();
+        let mut candidates_by_rack: Vec<Vec<usize>> = Vec::new();
         if request.same_rack || !request.data_rack.is_empty() {
             let mut racks: Vec<&str> = candidates
                 .iter()
@@ -261,30 +263,30 @@
             racks.retain(|rack| request.data_rack.is_empty() || *rack == request.data_rack);
             for rack in racks {
                 let there = |at: &usize| &*candidates[*at].rack == rack;
-                regions.push(all.iter().copied().filter(there).collect());
+                candidates_by_rack.push(all.iter().copied().filter(there).collect());
             }
         }
-        let on_racks = regions
+        let on_racks = candidates_by_rack
             .iter()
-            .filter_map(|region| self.slots_in(ranked, request, candidates, region, count))
+            .filter_map(|indices| self.slots_in(ranked, request, candidates, indices, count))
             .min_by(|a, b| total_loss(a).total_cmp(&total_loss(b)));
         // Only work that may leave its rack can use slots elsewhere.
-        let anywhere = regions.is_empty() || request.may_leave_rack;
+        let anywhere = candidates_by_rack.is_empty() || request.may_leave_rack;
         on_racks.or_else(|| {
             anywhere.then(|| self.slots_in(ranked, request, candidates, &all, count))?
         })
     }
 
-    /// Returns the cheapest slots for `count` tasks on the candidates of a region.
+    /// Returns the cheapest slots for `count` tasks on the candidates at these indices.
     fn slots_in(
         &self,
         ranked: Ranked,
         request: &PlacementRequest<'_>,
         candidates: &[CandidateWorker],
-        region: &[usize],
+        indices: &[usize],
         count: usize,
     ) -> Option<Vec<Choice>> {
-        let mut reclaimable: Vec<ReclaimableRuns> = region
+        let mut reclaimable: Vec<ReclaimableRuns> = indices
             .iter()
             .map(|&at| self.reclaimable(ranked, request, candidates, at))
             .collect();
@@ -293,8 +295,8 @@
         let mut chosen = Vec::with_capacity(count);
         let mut ended_gangs: HashSet<GroupKey> = HashSet::new();
         while chosen.len() < count {
-            let losses = next_slots.iter().enumerate();
-            let (at, _) = losses
+            let slots = next_slots.iter().enumerate();
+            let (at, _) = slots
                 .filter_map(|(at, slot)| slot.as_ref().map(|slot| (at, slot.loss)))
                 .min_by(|a, b| a.1.total_cmp(&b.1))?;
             let slot = next_slots[at].take()?;
@@ -335,11 +337,11 @@
         // a stop takes: a run that exceeds its expected run time seems about to end in
         // every pass, and guaranteed work would wait for it beyond its bound.
         let released_ms = self.groups[&ranked.key].released_ms;
-        let waited = self.now_ms > released_ms + self.tuning.settle_ms();
+        let has_waited_long = self.now_ms > released_ms + self.tuning.settle_ms();
         let ends_soon = |run: &Run| {
             let ending = matches!(run.phase, RunPhase::Stopping | RunPhase::Ending);
             let end_ms = self.expected_end_ms(candidate.worker, run);
-            ending || (!waited && end_ms.is_some_and(|end_ms| end_ms <= soon_ms))
+            ending || (!has_waited_long && end_ms.is_some_and(|end_ms| end_ms <= soon_ms))
         };
         let mut free = candidate.free;
         let mut victims: Vec<Victim> = Vec::new();
--- a/src/scheduler/recovery.rs
+++ b/src/scheduler/recovery.rs
@@ -17,8 +17,8 @@
 //! An earlier owner whose process has ended gives no more leases. One that is cut off from
 //! the store learns of no new jobs, one that was paused confirms its epoch before it sends
 //! orders again, and any other learns of its successor within one or two heartbeats. So a
-//! job that is stored later than that starts at once, provided that all jobs stored until
-//! then have been read.
+//! job that is stored later than `OWNERSHIP_LOSS_NOTICE_MS` after the takeover starts at
+//! once, provided that all jobs stored until then have been read.
 
 use super::action::Decision;
 use super::state::Scheduler;
--- a/src/scheduler/run_ends.rs
+++ b/src/scheduler/run_ends.rs
@@ -1,5 +1,5 @@
-//! Handles the ends of runs: completes or fails their tasks, and gives up gangs of which
-//! a member ended.
+//! Handles the ends of runs: completes or fails their tasks, and ends gangs of which a
+//! member ended.
 
 use super::acknowledgement::UnacknowledgedEnd;
 use super::action::{
@@ -37,7 +37,7 @@
         self.handle_run_gone(key, row.name);
         let end = UnacknowledgedEnd { row, waits_for };
         self.worker_mut(key).unacknowledged_ends.push_back(end);
-        self.with_unacknowledged_ends.insert(key);
+        self.workers_with_unacknowledged_ends.insert(key);
     }
 
     /// Keeps the checkpoint of a run that ended without completing, for the next run of the
--- a/src/scheduler/run_time_model.rs
+++ b/src/scheduler/run_time_model.rs
@@ -1,10 +1,10 @@
 //! Corrects callers' estimates of run times, queue by queue.
 //!
 //! Load pattern: on one queue estimates are right within a fifth, on another they are off
-//! by a factor of three while the run times themselves hardly differ. A linear regression
-//! of the logarithms of the run times that became known on those of their estimates gives
-//! the prediction for each queue. Limits: until a few run times are known, estimates are
-//! taken as they are.
+//! by a factor of three while the run times themselves hardly differ. So for
+//! each queue, the logarithm of the run time is predicted from the logarithm of the
+//! estimate by a linear regression over the run times known so far. Limits: until a few
+//! run times are known, predictions stay close to the estimates.
 
 use super::LogEstimate;
 
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -3,7 +3,8 @@
 //!
 //! Starts, reservations and preemptions of a pass are subtracted from the candidates'
 //! free resources at once, so no resources are given to two groups. A pass starts
-//! nothing without authority, a configuration and fresh emptying orders.
+//! nothing unless the epoch was confirmed recently, a configuration is known, and the
+//! orders to empty data centres were read recently.
 
 use super::action::Action;
 use super::ordering::{
@@ -33,15 +34,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Maximum number of starts in one pass. The next pass follows at once and gives more,
-/// so that inputs do not wait behind a burst of starts.
+/// Maximum number of starts in one pass. The next decision, after the next input or
+/// review, starts more. So inputs do not wait for a whole burst of starts.
 const MAX_STARTS: usize = 96;
-/// Wait after which work may leave the rack of its data, if that does not make it late.
-/// Urgent work should begin within 1.5 s. In a full replay, the p99 of the time until it
-/// begins is 2,382 ms without this wait and 982 ms with it.
+/// Wait after which tasks may run outside the rack of their data, if they are on time
+/// there or would be late on the rack as well. Urgent work should begin
+/// within 1.5 s. In a full replay, the p99 of the time until it begins is 2,382 ms
+/// without this wait and 982 ms with it.
 const LEAVE_RACK_MS: u64 = 1_500;
-/// Wait after which work may leave the rack of its data in any case: less than the 3 s
-/// for which work may wait while workers are idle.
+/// Wait after which tasks may run outside the rack of their data in any case: less than
+/// the 3 s for which work may wait while workers are idle.
 const LEAVE_RACK_ANYWAY_MS: u64 = 2_600;
 /// A ticket that expires within this time is not used.
 const TICKET_MARGIN_MS: u64 = 300;
@@ -105,7 +107,7 @@
             );
             if non_urgent {
                 non_urgent_capacity.take(started as u32 * accelerators);
-                non_urgent_capacity.reserve(self.waiting_gang(ranked.key) * accelerators);
+                non_urgent_capacity.reserve(self.waiting_gang_members(ranked.key) * accelerators);
             }
             starts += started;
         }
@@ -119,7 +121,7 @@
     }
 
     /// Number of waiting members if the group is a gang; 0 for other groups.
-    fn waiting_gang(&self, key: GroupKey) -> u32 {
+    fn waiting_gang_members(&self, key: GroupKey) -> u32 {
         let group = self.groups.get(&key).filter(|group| group.step.gang);
         group.map_or(0, |group| group.waiting)
     }
@@ -152,8 +154,9 @@
             .collect()
     }
 
-    /// Offers free capacity to one group: places up to `limit` of its tasks, and
-    /// otherwise preempts or reserves for it. Returns the number of tasks started.
+    /// Offers free capacity to one group: starts up to `limit` of its tasks and, if tasks
+    /// are left waiting, may preempt runs or reserve capacity for them. Returns the number
+    /// of tasks started.
     fn offer(
         &mut self,
         ranked: Ranked,
@@ -166,9 +169,9 @@
         if !self.is_crash_stored(key) {
             return 0;
         }
-        let on_trial = self.is_on_trial(key);
+        let suspected = self.has_waiting_suspect(key);
         let group = &self.groups[&key];
-        let unconstrained = !on_trial
+        let unconstrained = !suspected
             && !group.step.gang
             && group.step.required_label.is_empty()
             && group.step.data_rack.is_empty()
@@ -236,8 +239,8 @@
             }
         }
         let now_ms = self.now_ms;
-        let on_trial = self.is_on_trial(group.key);
-        let was_lost = group.tasks.iter().any(|task| !task.crashes.is_empty());
+        let suspected = self.has_waiting_suspect(group.key);
+        let has_crashed_runs = group.tasks.iter().any(|task| !task.crashes.is_empty());
         let failure_avoidance = match step.long_running {
             true => None,
             false => self.failure_avoidance(group, &queue.service),
@@ -257,7 +260,7 @@
             if queue.advice.is_some() && !self.has_ticket(group, key) {
                 return 0;
             }
-            if on_trial && self.has_other_suspect_on_trial(key, group.key.job) {
+            if suspected && self.has_starting_suspect_of_other_job(key, group.key.job) {
                 return 0;
             }
             match step.max_per_worker {
@@ -277,16 +280,18 @@
             may_leave_rack: self.may_leave_rack(group),
             fills: step.fills,
             serves: step.serves(),
-            on_trial,
-            crash_prone: &|key| was_lost && self.crashed_recently(key),
+            suspected,
+            crash_prone: &|key| has_crashed_runs && self.crashed_recently(key),
             avoid,
             allowed: &allowed,
         })
     }
 
     /// Whether a group may run outside the rack of its data, where it takes several
-    /// times as long. It may, after a wait, if it is on time there or would be late on
-    /// its rack as well; and after a longer wait in any case.
+    /// times as long. It may at once if no worker of the rack gets new tasks; after
+    /// [`LEAVE_RACK_MS`] if it is on time elsewhere or would be late on its rack as well;
+    /// and after [`LEAVE_RACK_ANYWAY_MS`], or a wait of its own for guaranteed work, in any
+    /// case.
     fn may_leave_rack(&self, group: &Group) -> bool {
         let now_ms = self.now_ms;
         let waited_ms = now_ms.saturating_sub(group.released_ms);
@@ -306,8 +311,8 @@
         waited_ms >= LEAVE_RACK_MS && (late_locally || on_time_remotely)
     }
 
-    /// Starts waiting tasks as placed, and subtracts their resources from the
-    /// candidates. Returns the number of tasks started.
+    /// Starts waiting tasks on the workers of the placements, and subtracts their
+    /// resources from the candidates. Returns the number of tasks started.
     fn start_placements(
         &mut self,
         key: GroupKey,
@@ -324,7 +329,7 @@
         let (resources, gang) = (group.resources, group.step.gang);
         let (fills, serves) = (group.step.fills, group.step.serves());
         let gang_run = gang.then(|| self.next_run(key, None));
-        let on_trial = self.is_on_trial(key);
+        let suspected = self.has_waiting_suspect(key);
         let mut started = 0;
         for placement in placements {
             let candidate = &mut candidates[placement.candidate];
@@ -343,7 +348,7 @@
                 self.start_run(candidate.worker, key, index, run);
                 started += 1;
             }
-            if on_trial && self.reserve_for_trial(candidate.worker) {
+            if suspected && self.reserve_for_suspect(candidate.worker) {
                 candidate.free = Resources::default();
             }
         }
@@ -356,8 +361,8 @@
     }
 
     /// Whether a group may be placed now: its queue has no external placement policy, or
-    /// the policy has approved some worker. Asks the policy for more workers if the
-    /// approved ones do not hold all waiting tasks.
+    /// at least one task fits on the workers that the policy has approved. Asks the policy
+    /// about more workers if not all waiting tasks fit on the approved ones.
     fn has_advice(
         &mut self,
         key: GroupKey,
@@ -374,13 +379,13 @@
                 && worker.has_label(&group.step.required_label)
                 && candidate.free.contains(&group.resources)
         };
-        let ticketed = candidates
+        let approved_tasks = candidates
             .iter()
             .filter(useful)
             .filter(|candidate| self.has_ticket(group, candidate.worker))
             .map(|candidate| candidate.free.count_fitting(&group.resources))
             .fold(0u32, u32::saturating_add);
-        if ticketed >= group.waiting {
+        if approved_tasks >= group.waiting {
             return true;
         }
         let workers: Vec<_> = candidates
@@ -399,7 +404,7 @@
                 self.actions.push(Action::Advise { step: key, workers });
             }
         }
-        ticketed > 0
+        approved_tasks > 0
     }
 
     /// Handles the answer of an external placement policy; `approved` is `None` if it did
@@ -443,8 +448,8 @@
         }
     }
 
-    /// Whether runs of other jobs may be preempted for this group: it is guaranteed, or
-    /// it is urgent and still on time.
+    /// Whether runs of other jobs may be preempted for this group: groups are ordered by
+    /// utility, and the group is guaranteed, or it is urgent and still on time.
     pub(super) fn may_preempt(&self, ranked: &Ranked) -> bool {
         let job = &self.jobs[&ranked.key.job];
         let group = &self.groups[&ranked.key];
--- a/src/scheduler/state.rs
+++ b/src/scheduler/state.rs
@@ -91,6 +91,7 @@
     pub(super) tuning: Tuning,
     pub(super) now_ms: u64,
     pub(super) started_ms: u64,
+    /// When this owner's epoch was last confirmed.
     pub(super) confirmed_ms: u64,
     /// When this process last resumed after a pause.
     pub(super) resumed_ms: u64,
@@ -120,7 +121,7 @@
     /// Workers by address, including those that are gone.
     pub(super) address_index: HashMap<String, Vec<WorkerKey>>,
     /// Workers with ends that have not been acknowledged yet.
-    pub(super) with_unacknowledged_ends: BTreeSet<WorkerKey>,
+    pub(super) workers_with_unacknowledged_ends: BTreeSet<WorkerKey>,
     /// All jobs that were stored before this time have been read.
     pub(super) jobs_read_ms: u64,
     /// How recently the registration entries of the workers were read.
@@ -179,7 +180,7 @@
             demand: Demand::default(),
             worker_index: HashMap::new(),
             address_index: HashMap::new(),
-            with_unacknowledged_ends: BTreeSet::new(),
+            workers_with_unacknowledged_ends: BTreeSet::new(),
             jobs_read_ms: 0,
             entries_freshness: Freshness::of(now_ms),
             jobs: BTreeMap::new(),
@@ -216,7 +217,8 @@
                 record,
                 progress,
             } => {
-                // The progress is missing here, so the job must not be treated as new.
+                // Records of stored jobs may arrive without progress, and an unreadable job
+                // must not be added as a new one.
                 if self.is_unreadable(id) {
                     return;
                 }
@@ -436,9 +438,9 @@
         self.actions.push(Action::Decided(decision));
     }
 
-    /// Returns the total capacity of the workers that match `counts`.
-    pub(super) fn capacity_of(&self, counts: impl Fn(&Worker) -> bool) -> Resources {
-        let counted = self.workers.iter().filter(|worker| counts(worker));
+    /// Returns the total capacity of the workers for which `is_counted` is true.
+    pub(super) fn capacity_of(&self, is_counted: impl Fn(&Worker) -> bool) -> Resources {
+        let counted = self.workers.iter().filter(|worker| is_counted(worker));
         counted.fold(Resources::default(), |sum, worker| {
             sum.plus(&worker.info.capacity)
         })
@@ -464,7 +466,8 @@
         run_times.predict(estimated_ms)
     }
 
-    /// Reviews all workers and runs for what has become due.
+    /// Carries out what has become due: the end of the recovery, expired leases, repeated
+    /// orders, moves of runs, polls, throttling, upkeep and deletions of jobs.
     fn review(&mut self) {
         self.review_recovery();
         // An owner without a configuration starts nothing, so a run that it stopped in
@@ -509,8 +512,8 @@
             self.actions.push(Action::DeleteJob { job: id });
         }
         let now_ms = self.now_ms;
-        self.deleting_jobs.retain(|_, removed_ms| {
-            removed_ms.is_none_or(|at_ms| now_ms < at_ms + DELETED_JOB_RETENTION_MS)
+        self.deleting_jobs.retain(|_, deleted_ms| {
+            deleted_ms.is_none_or(|at_ms| now_ms < at_ms + DELETED_JOB_RETENTION_MS)
         });
     }
 }
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -76,7 +76,7 @@
     /// A member of its gang listed an end of its own, so the whole gang has ended.
     pub gang_ended: bool,
     /// Its task was suspected of crashing workers when the run was started.
-    pub on_trial: bool,
+    pub suspected: bool,
     /// Number of orders sent for the current phase.
     pub sends: u32,
     /// An order is in flight.
@@ -157,7 +157,7 @@
             confirmed: true,
             survived_start: true,
             gang_ended: false,
-            on_trial: false,
+            suspected: false,
             sends: 1,
             in_flight: false,
             resend_ms: now_ms,
@@ -244,7 +244,7 @@
     /// When its incarnation was found to have crashed.
     pub crashed_ms: Option<u64>,
     /// Until then it gets no other work than a task that may crash it.
-    pub trial_until_ms: u64,
+    pub suspects_only_until_ms: u64,
     /// It gets no work until then.
     pub quarantined_until_ms: u64,
     /// Length of the last quarantine; 0 after a success.
@@ -301,7 +301,7 @@
             started_ms: 0,
             lost: Vec::new(),
             crashed_ms: None,
-            trial_until_ms: 0,
+            suspects_only_until_ms: 0,
             quarantined_until_ms: 0,
             quarantine_ms: 0,
             failures: Vec::new(),
@@ -393,7 +393,7 @@
             && !self.clock_suspect
             && now_ms >= self.full_until_ms
             && now_ms >= self.quarantined_until_ms
-            && now_ms >= self.trial_until_ms
+            && now_ms >= self.suspects_only_until_ms
     }
 
     /// Whether it has the label. Every worker has the empty label.
--- a/src/scheduler/worker_entries.rs
+++ b/src/scheduler/worker_entries.rs
@@ -1,6 +1,6 @@
 //! Handles workers' entries, including entries that are invalid or cannot be trusted.
 //!
-//! Others than the workers can write to the place where workers register. A known worker
+//! Not only workers can write under the prefix where workers register. A known worker
 //! whose entry becomes invalid gets no new work from that moment. Its runs stay with it,
 //! its lease is renewed and its ends are received as long as it answers. Nothing is
 //! concluded from an invalid entry, neither that the worker is gone nor that it has been
--- a/src/scheduler/worker_restart.rs
+++ b/src/scheduler/worker_restart.rs
@@ -1,9 +1,9 @@
 //! Handles workers that restart under the same name.
 //!
 //! Many workers may crash at once and return after a second or two, at the same address
-//! and under the same name. The new incarnation has none of the earlier one's state: its
-//! ends and its clock start anew, and it knows no epoch. If it were taken as the earlier
-//! incarnation, it would be told to drop ends that no owner has received.
+//! and under the same name. The new incarnation has none of the earlier one's state: it
+//! lists no ends, its clock starts again, and it knows no epoch. If it were taken as the
+//! earlier incarnation, it would be told to drop ends that no owner has received.
 //!
 //! - Only an answer to a poll shows that a worker restarted. One poll is in flight at a
 //!   time, so its answer is never older than the previous one.
--- a/src/scheduler/worker_speed.rs
+++ b/src/scheduler/worker_speed.rs
@@ -5,9 +5,9 @@
 //! time is late on a slow worker, and capacity that is expected too soon is reserved in
 //! vain. The members of a gang do the same amount of work, so their progress compares
 //! their workers within a second or two; the tasks of other steps do so less exactly.
-//! Limits: progress is reported in whole percent, so a run is used only once it has
-//! advanced by [`MIN_OBSERVED_PERCENT`], and only once; a worker that is slow only for a
-//! while is an outlier, which is ignored.
+//! Limits: progress is reported in whole percent, so a run is used a single time, after it
+//! has advanced by [`MIN_OBSERVED_PERCENT`]; a worker that is slow only for a while is an
+//! outlier, which is ignored.
 
 use super::state::Scheduler;
 use super::{
