--- a/src/core/account.rs
+++ b/src/core/account.rs
@@ -1,4 +1,4 @@
-//! A client account of a cell: its declaration, its use and its retry budget.
+//! A client account of a cell: its declaration, its usage and its retry budget.
 
 use crate::config::AccountDeclaration;
 
--- a/src/core/cell.rs
+++ b/src/core/cell.rs
@@ -110,6 +110,7 @@
 pub struct Cell {
     pub(super) data_centre: String,
     pub(super) epoch: u64,
+    /// Sequence number of the next job id of this epoch.
     pub(super) next_sequence: u32,
     pub(super) now_ms: u64,
     pub(super) configuration_version: u64,
@@ -212,7 +213,7 @@
             }
         }
         self.configure_accounts(configuration);
-        self.declare_pledges(&configuration.declaration);
+        self.reconcile_pledges(&configuration.declaration);
         self.topology_changed();
     }
 
@@ -254,8 +255,8 @@
     /// declarations, and makes every waiting job eligible for the next pass.
     pub(super) fn topology_changed(&mut self) {
         self.feasible.clear();
-        let in_surplus = |worker: &Worker| worker.usable_by(false).count_ones();
-        self.surplus_capacity = self.fleet.workers().map(|(_, w)| in_surplus(w)).sum();
+        let surplus_count = |worker: &Worker| worker.usable_by(false).count_ones();
+        self.surplus_capacity = self.fleet.workers().map(|(_, w)| surplus_count(w)).sum();
         self.queue.unblock_all();
         self.changed = true;
     }
@@ -267,8 +268,8 @@
             }
             self.timers.pop_first();
             match timer {
-                JobTimer::Retry => self.retry_due(key),
-                JobTimer::StartTimeout { attempt } => self.start_timeout(key, attempt),
+                JobTimer::Retry => self.requeue_if_due(key),
+                JobTimer::StartTimeout { attempt } => self.handle_start_timeout(key, attempt),
                 JobTimer::LatestStart => self.requeue_late(key),
                 JobTimer::DeleteJob => self.delete_job(key),
             }
@@ -310,8 +311,8 @@
         &self.classes[key.index()].declaration
     }
 
-    /// Returns the estimated remaining run time of a job: its corrected declared
-    /// run time without the saved progress.
+    /// Returns the estimated remaining run time of a job: its declared run time,
+    /// corrected by the estimator, minus the saved progress.
     pub(super) fn remaining_ms(&self, job: &Job) -> u64 {
         self.estimator
             .corrected_ms(job.account, job.class, job.submission.declared_run_ms)
--- a/src/core/gang.rs
+++ b/src/core/gang.rs
@@ -32,8 +32,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl Cell {
-    /// Asks the workers for reservations once the gang holds all accelerators of
-    /// its place.
+    /// Requests reservations from the workers once the gang holds all accelerators
+    /// of its placement.
     pub(super) fn reserve_if_all_held(&mut self, key: JobKey) {
         let now_ms = self.now_ms;
         let start_timeout_ms = self.limits.start_timeout_ms;
@@ -79,7 +79,8 @@
     }
 
     /// Handles a report about a member. A report about an attempt that is not
-    /// current changes nothing; a reservation or task that it shows is stopped.
+    /// current is ignored, except that a reservation or task that it reports as
+    /// existing is stopped.
     pub(super) fn handle_member_report(&mut self, report: MemberReport) {
         let Some(worker) = self.fleet.find(&report.worker) else {
             return;
@@ -90,8 +91,8 @@
             })
         });
         let Some(key) = current else {
-            let alive = matches!(report.event, MemberEvent::Reserved | MemberEvent::Started);
-            if alive {
+            let needs_stop = matches!(report.event, MemberEvent::Reserved | MemberEvent::Started);
+            if needs_stop {
                 self.effects.push(Effect::Stop {
                     attempt: report.attempt,
                     worker,
@@ -110,26 +111,26 @@
             MemberEvent::Started => self.member_started(key, worker),
             MemberEvent::Finished(answer) => self.member_finished(key, worker, answer),
             MemberEvent::ReserveRefused => {
-                self.member_gone(key, worker, false);
+                self.end_member(key, worker, false);
                 self.handle_member_loss(key, RetryReason::ReserveRefused);
             }
             MemberEvent::StartRefused => {
                 self.record_failure(key, worker);
-                self.member_gone(key, worker, false);
+                self.end_member(key, worker, false);
                 self.handle_member_loss(key, RetryReason::StartRefused);
             }
             MemberEvent::Failed => {
                 self.record_failure(key, worker);
-                self.member_gone(key, worker, true);
+                self.end_member(key, worker, true);
                 self.handle_member_loss(key, RetryReason::TaskFailed);
             }
             MemberEvent::Stopped { progress_ms } => self.member_stopped(key, worker, progress_ms),
             MemberEvent::NotBegun => {
-                self.member_gone(key, worker, false);
+                self.end_member(key, worker, false);
                 self.handle_member_loss(key, RetryReason::FoundNotBegun);
             }
             MemberEvent::Unknown | MemberEvent::LostInRestart => {
-                self.member_gone(key, worker, true);
+                self.end_member(key, worker, true);
                 self.handle_member_loss(key, RetryReason::WorkerLost);
             }
         }
@@ -254,8 +255,8 @@
         self.handle_member_loss(key, RetryReason::TaskStopped);
     }
 
-    /// Continues after the end of a member: a job that is stopping or recovering
-    /// may now be done with that, any other loses its attempt.
+    /// Handles the end of a member: completes the stop or recovery of the job if no
+    /// other member is outstanding; fails the attempt in any other state but `Ended`.
     pub(super) fn handle_member_loss(&mut self, key: JobKey, reason: RetryReason) {
         match self.jobs.get(key).map(|job| job.state) {
             Some(JobState::Stopping(_)) => self.try_finish_stop(key),
@@ -267,7 +268,7 @@
 
     /// Records whether the member on `worker` may have begun, marks it gone and
     /// frees its accelerators.
-    pub(super) fn member_gone(&mut self, key: JobKey, worker: WorkerKey, may_have_begun: bool) {
+    pub(super) fn end_member(&mut self, key: JobKey, worker: WorkerKey, may_have_begun: bool) {
         if let Some(member) = self.jobs.get_mut(key).and_then(|job| job.member_on(worker)) {
             member.may_have_begun = may_have_begun;
         }
@@ -447,8 +448,9 @@
             return;
         };
         // A job that is not idempotent runs at most once: starting it again after
-        // an attempt that may have begun could repeat its effects. The flags of
-        // the members say whether a start was sent and not refused.
+        // an attempt that may have begun could repeat its effects. A member's
+        // `may_have_begun` is set when its start is sent and cleared when the
+        // start is refused or the task is found not to have begun.
         if job.may_have_begun() && !job.submission.idempotent {
             let code = match reason {
                 RetryReason::TaskFailed => OutcomeCode::Failed,
@@ -512,21 +514,21 @@
         let seed =
             xxh3_64(&[job.id.0.to_le_bytes(), u64::from(job.attempt).to_le_bytes()].concat());
         let jittered_ms = longest_ms / 2 + seed % (longest_ms / 2).max(1);
-        let budget = self.accounts[job.account.index()].take_retry(now_ms);
-        let until_ms = now_ms + jittered_ms.max(budget.err().unwrap_or(0));
+        let retry_permit = self.accounts[job.account.index()].take_retry(now_ms);
+        let until_ms = now_ms + jittered_ms.max(retry_permit.err().unwrap_or(0));
         job.state = JobState::Backoff { until_ms };
         job.state_since_ms = now_ms;
         self.timers.insert((until_ms, key, JobTimer::Retry));
     }
 
-    pub(super) fn retry_due(&mut self, key: JobKey) {
+    pub(super) fn requeue_if_due(&mut self, key: JobKey) {
         let due = |job: &Job| matches!(job.state, JobState::Backoff { until_ms } if until_ms <= self.now_ms);
         if self.jobs.get(key).is_some_and(due) {
             self.enqueue(key);
         }
     }
 
-    pub(super) fn start_timeout(&mut self, key: JobKey, attempt: u32) {
+    pub(super) fn handle_start_timeout(&mut self, key: JobKey, attempt: u32) {
         let unconfirmed = |job: &Job| {
             job.attempt == attempt && matches!(job.state, JobState::Reserving | JobState::Starting)
         };
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -166,7 +166,7 @@
         // A new owner that is still inspecting the member does not know whether the
         // task has begun, so assume that it has.
         let begun = member.may_have_begun || member.state == MemberState::Inspecting;
-        self.member_gone(key, worker, begun);
+        self.end_member(key, worker, begun);
     }
 
     /// Marks a lost or draining worker as healthy again.
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the placement of a job.
 //!
 //! Free accelerators come first, then accelerators reserved for a waiting gang
-//! that has time, then accelerators whose holders are preempted. Free placements
+//! that has time to wait, then accelerators whose holders are preempted. Free placements
 //! are compared by one cost, the sum of a preemption cost and a fragmentation cost
 //! with the configured weights, and of a penalty for splitting the account's own
 //! guaranteed shape.
--- a/src/core/pledge.rs
+++ b/src/core/pledge.rs
@@ -6,9 +6,9 @@
 //! same time, within the longest checkpoint grace period of the jobs that hold
 //! the accelerators.
 //!
-//! Exceptions are reported as shortfalls: no place was found for a pledge, one of
-//! its workers accepts no jobs, or a job of another account that is not reclaimable
-//! has held its accelerators since before they were pledged.
+//! Exceptions are reported as shortfalls: a pledge could not be placed, one of its
+//! workers accepts no jobs, or a job of another account that is not reclaimable has
+//! held its accelerators since before they were pledged.
 
 use super::{
     AccountKey,
@@ -33,7 +33,7 @@
     pub account: AccountKey,
     /// The shape.
     pub shape: Shape,
-    /// The pledged accelerators by worker; empty while the pledge has no place.
+    /// The pledged accelerators by worker; empty while the pledge is not placed.
     pub members: Vec<(WorkerKey, AcceleratorMask)>,
     /// Whether the guarantee was withdrawn; the entry may then be reused.
     pub withdrawn: bool,
@@ -48,8 +48,8 @@
     pub missing: u16,
 }
 
-/// Returns the guarantees of `data_centre` that `fleet` could not hold together
-/// even if it were idle. Needs no other state, so that an API daemon can refuse a
+/// Returns the guarantees of `data_centre` that an idle `fleet` could not satisfy
+/// at the same time. Needs no other state, so that an API daemon can refuse a
 /// patch without asking the owner.
 pub fn nominal_shortfalls(
     fleet: &Fleet,
@@ -70,7 +70,7 @@
     let mut missing: Vec<Shortfall> = Vec::new();
     for (account, shape) in wanted {
         let unpledged = |worker: &Worker| worker.all & !worker.pledged;
-        match find_place(&fleet, &shape, unpledged) {
+        match find_placement(&fleet, &shape, unpledged) {
             Some(members) => {
                 for (worker, mask) in members {
                     fleet.update(worker, |worker| {
@@ -91,7 +91,7 @@
 }
 
 /// Finds accelerators for `shape` among those that `usable` returns for each worker.
-fn find_place(
+fn find_placement(
     fleet: &Fleet,
     shape: &Shape,
     usable: impl Fn(&Worker) -> AcceleratorMask,
@@ -111,7 +111,7 @@
 
 impl Cell {
     /// Adds and withdraws pledges so that they match the declared guarantees.
-    pub(super) fn declare_pledges(&mut self, declaration: &Declaration) {
+    pub(super) fn reconcile_pledges(&mut self, declaration: &Declaration) {
         let wanted: Vec<(AccountKey, Shape, u16)> = declaration
             .guarantees_in(&self.data_centre)
             .filter_map(|(account, guarantee)| {
@@ -164,8 +164,8 @@
             self.fleet
                 .update(worker, |worker| worker.set_pledge(mask, None));
         }
-        for at in self.jobs_in_pledge(key) {
-            if let Some(job) = self.jobs.get_mut(at) {
+        for job_key in self.jobs_in_pledge(key) {
+            if let Some(job) = self.jobs.get_mut(job_key) {
                 job.pledge = None;
                 let held: u32 = job.members.iter().map(|m| m.held.count_ones()).sum();
                 self.accounts[job.account.index()].surplus_accelerators += held;
@@ -178,7 +178,7 @@
         self.jobs
             .iter()
             .filter(|(_, job)| job.pledge == Some(key))
-            .map(|(at, _)| at)
+            .map(|(job_key, _)| job_key)
             .collect()
     }
 
@@ -188,7 +188,7 @@
             .pledges
             .iter()
             .enumerate()
-            .filter(|(_, pledge)| pledge.members.iter().any(|&(at, _)| at == worker))
+            .filter(|(_, pledge)| pledge.members.iter().any(|&(member, _)| member == worker))
             .map(|(at, _)| PledgeKey(at as u16))
             .collect();
         for key in on_worker {
@@ -197,8 +197,8 @@
         self.place_pledges();
     }
 
-    /// Places each pledge that has no place, those with the strictest adjacency and
-    /// then the most accelerators first, and reports shortfalls.
+    /// Places each pledge that is not placed, in the order of adjacency (strictest
+    /// first) and then of accelerators (most first), and reports shortfalls.
     pub(super) fn place_pledges(&mut self) {
         let mut unplaced: Vec<PledgeKey> = (0..self.pledges.len())
             .filter(|&at| !self.pledges[at].withdrawn && self.pledges[at].members.is_empty())
@@ -217,13 +217,14 @@
     fn place_pledge(&mut self, key: PledgeKey) {
         let Pledge { account, shape, .. } = self.pledges[key.index()];
         let unpledged = |worker: &Worker| worker.usable_by(false);
-        let unobstructed = |worker: &Worker| unpledged(worker) & !self.obstacles(worker, account);
+        let unblocked =
+            |worker: &Worker| unpledged(worker) & !self.blocked_accelerators(worker, account);
         // Jobs of other accounts that are not reclaimable block the pledge until
         // they end. Accelerators without such jobs are preferred. If there are too
         // few, blocked ones are pledged too, so that no further such jobs are
         // placed there.
-        let Some(members) = find_place(&self.fleet, &shape, unobstructed)
-            .or_else(|| find_place(&self.fleet, &shape, unpledged))
+        let Some(members) = find_placement(&self.fleet, &shape, unblocked)
+            .or_else(|| find_placement(&self.fleet, &shape, unpledged))
         else {
             return;
         };
@@ -237,7 +238,7 @@
 
     /// Accelerators held by jobs of accounts other than `account` that are not
     /// reclaimable.
-    fn obstacles(&self, worker: &Worker, account: AccountKey) -> AcceleratorMask {
+    fn blocked_accelerators(&self, worker: &Worker, account: AccountKey) -> AcceleratorMask {
         bits(worker.all & !worker.free & !worker.reclaimable)
             .filter(|&bit| {
                 let holder = worker.holder(bit).and_then(|key| self.jobs.get(key));
@@ -254,7 +255,8 @@
             let is_met = !pledge.members.is_empty()
                 && pledge.members.iter().all(|&(key, mask)| {
                     let worker = self.fleet.worker(key);
-                    worker.accepts_jobs() && self.obstacles(worker, pledge.account) & mask == 0
+                    worker.accepts_jobs()
+                        && self.blocked_accelerators(worker, pledge.account) & mask == 0
                 });
             if is_met {
                 continue;
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -1,7 +1,7 @@
 //! Queues waiting jobs in groups that placement treats alike.
 //!
-//! Jobs with the same [`GroupKey`] fit or fail together. A group whose first
-//! job could not be placed is blocked until a worker has enough free
+//! The jobs of a group have the same [`GroupKey`]. If the first of them could not
+//! be placed, the whole group is blocked until a worker has enough free
 //! accelerators, or until the next tick. The cost of a pass thus depends on what
 //! changed and not on the number of waiting jobs.
 
--- a/src/core/reclaim.rs
+++ b/src/core/reclaim.rs
@@ -30,7 +30,7 @@
 /// account from using the full shape when it needs it.
 const MAX_SMALLER_JOB_MS: u64 = 60_000;
 /// Approximate delay that a preemption causes. A job with less slack would miss
-/// its deadline and is preempted only if nothing cheaper can be.
+/// its deadline and is preempted only if no cheaper job can be.
 const PREEMPTION_DELAY_MS: u64 = 120_000;
 /// Factor on the cost of preempting a job that would then miss its deadline.
 const MISSED_DEADLINE_WEIGHT: u64 = 50;
@@ -39,10 +39,9 @@
 const COMPARED_WORKERS: usize = 32;
 
 impl Cell {
-    /// A placement on accelerators that preempted jobs have to release first. They
-    /// are in the account's own guarantee or, for a job that is urgent or would
-    /// otherwise miss its deadline, held by any reclaimable job outside all
-    /// guarantees.
+    /// A placement on accelerators that preempted jobs have to release first: those
+    /// in the account's own guarantee or, if the job is urgent or would otherwise
+    /// miss its deadline, those that reclaimable jobs hold outside all guarantees.
     pub(super) fn reclaiming_plan(&self, job: &Job) -> Option<Plan> {
         let class = self.class(job.class);
         let own = match class.reclaims {
@@ -186,15 +185,15 @@
     ///
     /// A job of the same account that uses the pledge as a reclaimable job, perhaps
     /// across two pledges, may also be preempted by a job of the guaranteed shape:
-    /// its successor runs inside the guarantee, where it is not reclaimable.
+    /// the preempting job then runs inside the guarantee, where it is not reclaimable.
     fn may_be_preempted(&self, holder: &Job, job: &Job, worker: &Worker, bit: usize) -> bool {
         let pledge = worker.pledge(bit).map(|key| &self.pledges[key.index()]);
-        let own = pledge.is_some_and(|pledge| {
-            let foreign = holder.account != job.account;
-            pledge.account == job.account && (foreign || pledge.shape == job.shape)
+        let in_own_pledge = pledge.is_some_and(|pledge| {
+            let other_account = holder.account != job.account;
+            pledge.account == job.account && (other_account || pledge.shape == job.shape)
         });
         let due_earlier = job.deadline_ms < holder.deadline_ms;
-        own || self.class(job.class).urgent || due_earlier
+        in_own_pledge || self.class(job.class).urgent || due_earlier
     }
 
     /// The relative cost of preempting `job`. It is lowest if the job is stopping
@@ -231,8 +230,8 @@
         Some(self.plan_with_victims(members, None))
     }
 
-    /// The worker on which a single-worker job costs the least to place, victims
-    /// included.
+    /// The worker, of at most [`COMPARED_WORKERS`] compared, on which placing a
+    /// single-worker job has the lowest total preemption cost.
     fn cheapest_worker(&self, job: &Job) -> Option<WorkerKey> {
         let index = self.fleet.view_index(CapacityView::Reclaimable);
         let counts =
@@ -257,7 +256,8 @@
             .map(|(_, key)| key)
     }
 
-    /// A placement on `members` that preempts every job that holds any of them.
+    /// A placement on `members` that preempts every job that holds any of their
+    /// accelerators.
     pub(super) fn plan_with_victims(
         &self,
         members: Vec<(WorkerKey, AcceleratorMask)>,
--- a/src/core/shape.rs
+++ b/src/core/shape.rs
@@ -1,4 +1,5 @@
-//! The shape of accelerators that a job requests or that an account is guaranteed.
+//! Shapes, which jobs request and accounts are guaranteed: a number of accelerators
+//! on each of one or more workers, and how close the workers have to be.
 
 use serde::{
     Deserialize,
--- a/src/daemon/answer.rs
+++ b/src/daemon/answer.rs
@@ -1,7 +1,7 @@
 //! Streams a job's answer to the caller.
 //!
-//! An answer that does not match its recorded length and digest never reaches its
-//! full length at the caller.
+//! The last chunk is sent only after the length and digest of the answer are
+//! verified, so the caller never receives a complete answer that does not match.
 
 use crate::backend::HttpBackend;
 use crate::core::AttemptId;
--- a/src/daemon/peer.rs
+++ b/src/daemon/peer.rs
@@ -64,7 +64,7 @@
     Request(RequestFrame, oneshot::Sender<ReplyBody>),
 }
 
-/// The connections of one daemon to its peers; lives on the traffic thread.
+/// The connections of one daemon to its peers; used only on the traffic thread.
 #[derive(Clone)]
 pub struct Peers {
     shared: Rc<Shared>,
@@ -281,8 +281,8 @@
             match reply {
                 Reply::NotOwner => {}
                 Reply::OutcomeUnknown => outcome_unknown = true,
-                // An owner that is gone may have accepted an earlier attempt of this
-                // request, so this refusal does not show that the job did not run.
+                // A previous owner may have accepted an earlier copy of this request,
+                // so this refusal does not prove that the job did not run.
                 Reply::Refused(_) if outcome_unknown => {}
                 reply => return reply,
             }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -483,8 +483,8 @@
     }
 
     /// Reads the platform's lists at regular intervals: the VMs of this data centre, and
-    /// less often the daemons of all data centres. A list that has not changed since its
-    /// entity tag costs a few bytes.
+    /// less often the daemons of all data centres. Each request carries the entity tag of
+    /// the last list, so that an unchanged list is not transferred again.
     async fn refresh_lists(self: std::rc::Rc<Self>, membership: Membership) {
         let mut ticks = self.timer.interval(self.settings.list_ms);
         let (mut members_tag, mut daemons_tag) = (String::new(), String::new());
--- a/src/daemon/worker_monitor.rs
+++ b/src/daemon/worker_monitor.rs
@@ -26,7 +26,7 @@
 /// Failed polls in a row after which a worker is reported as unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
 
-/// Polls a share of the workers; lives on the traffic thread.
+/// Polls a share of the workers; used only on the traffic thread.
 #[derive(Clone)]
 pub struct WorkerMonitor {
     shared: Rc<Shared>,
--- a/src/ledger/job_pages.rs
+++ b/src/ledger/job_pages.rs
@@ -242,8 +242,8 @@
             record.outcome = change.outcome;
             record.ended_ms = change.ended_ms;
             record.answer = change.answer.clone();
-            // An ended job never starts again. Only its key and the fields that
-            // identify a resubmission as equal are needed from now on.
+            // An ended job never starts again, so the start time of its latest
+            // attempt is no longer needed.
             if change.outcome != OutcomeCode::None as i32 {
                 record.starting_ms = 0;
             }
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -323,9 +323,9 @@
         }
     }
 
-    /// Handles a failed call. A write whose answer was lost may have taken effect,
-    /// so that it is never repeated blindly: the root is read back to compare its
-    /// write id, and the version of a page slot is read again.
+    /// Handles a failed call. A write whose answer was lost may have taken effect and
+    /// is therefore checked before it is repeated: the root is read back to compare
+    /// its write id, and the version of a page slot is read again.
     fn handle_failure(&mut self, failure: StoreFailure) {
         match &mut self.step {
             Step::WritingRoot if failure == StoreFailure::Timeout => {
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -110,13 +110,14 @@
 pub enum OutcomeCode {
     /// The job has not ended.
     None = 0,
-    /// The job ran once, completely.
+    /// The job completed. An idempotent job may have begun more than once.
     Served = 1,
-    /// The job ran and failed.
+    /// A task failed and must not be repeated, or the job reached the limit of
+    /// failures.
     Failed = 2,
-    /// The job was cancelled before it began.
+    /// The job was cancelled, and no attempt has begun.
     CancelledNotRun = 3,
-    /// The job was cancelled after it began.
+    /// The job was cancelled, and an attempt may have begun.
     Cancelled = 4,
     /// An attempt may have begun, and its result is unknown.
     MayHaveRun = 5,
@@ -174,7 +175,7 @@
     /// How often the job was preempted.
     #[prost(uint32, tag = "7")]
     pub preemptions: u32,
-    /// How often the job failed.
+    /// How often a task of the job failed or its start was refused.
     #[prost(uint32, tag = "8")]
     pub failures: u32,
     /// How the job ended, as an [`OutcomeCode`].
@@ -183,10 +184,10 @@
     /// When the job ended.
     #[prost(uint64, tag = "10")]
     pub ended_ms: u64,
-    /// The answer, once the job is served.
+    /// The answer, once the job has completed.
     #[prost(message, optional, tag = "11")]
     pub answer: Option<AnswerRecord>,
-    /// When the start of the latest attempt was committed.
+    /// When the start of the latest attempt was decided.
     #[prost(uint64, tag = "12")]
     pub starting_ms: u64,
     /// Whether the account has cancelled the job.
@@ -209,7 +210,7 @@
     /// A job was accepted.
     #[prost(message, tag = "1")]
     Accepted(JobRecord),
-    /// An attempt was committed; from now on it may start.
+    /// An attempt was decided; it may start once this change is durable.
     #[prost(message, tag = "2")]
     Starting(StartingChange),
     /// The attempt ended and the job is queued again.
@@ -226,7 +227,7 @@
     Cancelling(u64),
 }
 
-/// An attempt was committed; from now on it may start.
+/// An attempt was decided; it may start once this change is durable.
 #[derive(Clone, Eq, PartialEq, prost::Message)]
 pub struct StartingChange {
     /// The job.
@@ -238,7 +239,7 @@
     /// Members of the attempt.
     #[prost(message, repeated, tag = "3")]
     pub members: Vec<MemberRecord>,
-    /// When the start was committed.
+    /// When the start was decided.
     #[prost(uint64, tag = "4")]
     pub starting_ms: u64,
 }
@@ -255,7 +256,7 @@
     /// How often the job was preempted.
     #[prost(uint32, tag = "3")]
     pub preemptions: u32,
-    /// How often the job failed.
+    /// How often a task of the job failed or its start was refused.
     #[prost(uint32, tag = "4")]
     pub failures: u32,
 }
@@ -272,7 +273,7 @@
     /// When the job ended.
     #[prost(uint64, tag = "3")]
     pub ended_ms: u64,
-    /// The answer, once the job is served.
+    /// The answer, once the job has completed.
     #[prost(message, optional, tag = "4")]
     pub answer: Option<AnswerRecord>,
 }
--- a/src/owner/effects.rs
+++ b/src/owner/effects.rs
@@ -68,7 +68,7 @@
                 attempt,
                 worker,
                 mask,
-            } => self.send(
+            } => self.schedule_call(
                 worker,
                 WorkerCall::Reserve {
                     epoch,
@@ -82,7 +82,7 @@
                 worker,
                 progress_ms,
                 payload,
-            } => self.send(
+            } => self.schedule_call(
                 worker,
                 WorkerCall::Start {
                     epoch,
@@ -95,7 +95,7 @@
                 attempt,
                 worker,
                 grace_ms,
-            } => self.send(
+            } => self.schedule_call(
                 worker,
                 WorkerCall::Stop {
                     epoch,
@@ -104,7 +104,7 @@
                 },
             ),
             Effect::Inspect { attempt, worker } => {
-                self.send(worker, WorkerCall::Inspect { epoch, attempt });
+                self.schedule_call(worker, WorkerCall::Inspect { epoch, attempt });
             }
             Effect::Accepted { token, job } => {
                 metrics::counter!("fuchsiaslip_accepted_total").increment(1);
--- a/src/owner/outbox.rs
+++ b/src/owner/outbox.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that a call was sent under `id`.
-    pub fn sent(&mut self, id: CallId, mut outgoing: Outgoing) {
+    pub fn record_sent(&mut self, id: CallId, mut outgoing: Outgoing) {
         outgoing.tries += 1;
         self.in_flight.insert(id, outgoing);
     }
@@ -91,11 +91,11 @@
         self.in_flight.remove(&id)
     }
 
-    /// Handles a call without an answer. The call is repeated with back-off,
-    /// since all calls are idempotent. A reservation is abandoned after
-    /// `MAX_RESERVE_TRIES`: without a start call its task cannot begin, so that
-    /// abandoning it is safe.
-    pub fn unanswered(&mut self, outgoing: Outgoing, now_ms: u64) -> CallOutcome {
+    /// Handles a call without an answer. The call is repeated with backoff, which is
+    /// safe because all calls are idempotent. A reservation is abandoned after
+    /// `MAX_RESERVE_TRIES`, which is safe because its task cannot begin without a
+    /// start call.
+    pub fn handle_no_answer(&mut self, outgoing: Outgoing, now_ms: u64) -> CallOutcome {
         let is_reservation = matches!(outgoing.call, WorkerCall::Reserve { .. });
         if is_reservation && outgoing.tries >= MAX_RESERVE_TRIES {
             return CallOutcome::Event(MemberEvent::ReserveRefused);
@@ -106,15 +106,15 @@
     }
 
     /// Handles the worker's answer to a call.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         outgoing: &Outgoing,
         answer: WorkerAnswer,
         now_ms: u64,
     ) -> CallOutcome {
         match (&outgoing.call, answer) {
-            // There is a newer owner. This one will be fenced by the ledger
-            // and decides nothing on this answer.
+            // There is a newer owner. This one ignores the answer and will be
+            // fenced by the ledger.
             (_, WorkerAnswer::Refused(WorkerRefusal::StaleEpoch)) => CallOutcome::Nothing,
             (WorkerCall::Reserve { .. }, WorkerAnswer::Done) => {
                 CallOutcome::Event(MemberEvent::Reserved)
--- a/src/owner/requests.rs
+++ b/src/owner/requests.rs
@@ -260,7 +260,7 @@
         let answer = owning.cell.job(job).and_then(|job| job.answer.clone());
         let answer_address = answer
             .as_ref()
-            .and_then(|answer| self.members.get(&answer.worker))
+            .and_then(|answer| self.vms.get(&answer.worker))
             .map(|vm| vm.address.clone());
         Reply::Ended(Box::new(Ended {
             report,
--- a/src/owner/state.rs
+++ b/src/owner/state.rs
@@ -53,11 +53,12 @@
     pub worker_margin_ms: u64,
     /// How long a worker keeps a reservation without a start.
     pub reservation_ms: u64,
-    /// Maximum age of the confirmation of the configuration.
+    /// Maximum time since the configuration was last confirmed to be current. Beyond
+    /// it, the owner refuses submissions and places no jobs.
     pub configuration_bound_ms: u64,
     /// How long a commit may take before new submissions are refused.
     pub commit_bound_ms: u64,
-    /// Interval at which the core handles what has become due.
+    /// Interval at which the core receives [`Command::Tick`].
     pub core_tick_ms: u64,
     /// Limits of the decision core.
     pub limits: Limits,
@@ -124,8 +125,8 @@
     pub(super) draining: bool,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) configuration_confirmed_ms: Option<u64>,
-    /// VMs of the data centre by name, those no longer listed included.
-    pub(super) members: BTreeMap<String, VmRecord>,
+    /// VMs of the data centre by name, including those no longer listed.
+    pub(super) vms: BTreeMap<String, VmRecord>,
     /// Workers that report that they are leaving.
     pub(super) self_reported_leaving: HashSet<String>,
     pub(super) last_call_id: u64,
@@ -158,7 +159,7 @@
             draining: false,
             configuration: None,
             configuration_confirmed_ms: None,
-            members: BTreeMap::new(),
+            vms: BTreeMap::new(),
             self_reported_leaving: HashSet::new(),
             last_call_id: 0,
             journal_call: None,
@@ -213,7 +214,7 @@
                 let confirmed = self.configuration_confirmed_ms.unwrap_or(0);
                 self.configuration_confirmed_ms = Some(confirmed.max(requested_ms));
             }
-            Event::Members(members) => self.handle_member_list(members),
+            Event::Members(members) => self.handle_vm_list(members),
             Event::Candidacy(is_candidate) => self.is_candidate = is_candidate,
             Event::Drain => self.draining = true,
         }
@@ -221,8 +222,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Repeats a failed store call when it is due and lets the core handle what
-    /// has become due.
+    /// Repeats a failed store call of the journal and sends the core its tick, each
+    /// when it is due.
     pub(super) fn tick(&mut self) {
         if self.journal_retry_ms.is_some_and(|at| at <= self.now_ms) {
             self.journal_retry_ms = None;
@@ -242,8 +243,8 @@
         }
     }
 
-    /// Requests the calls that have become due and executes effects whose
-    /// changes have become durable.
+    /// Requests the lease, store and worker calls that are due, executes the effects
+    /// whose changes are durable, and resigns once a drain is complete.
     pub(super) fn advance(&mut self) {
         self.renew_lease();
         self.advance_journal();
--- a/src/owner/workers.rs
+++ b/src/owner/workers.rs
@@ -52,21 +52,21 @@
 
     /// Handles the platform's list of VMs. A VM that is no longer listed is kept
     /// as leaving.
-    pub(super) fn handle_member_list(&mut self, members: Vec<VmRecord>) {
+    pub(super) fn handle_vm_list(&mut self, members: Vec<VmRecord>) {
         let unlisted: Vec<String> = self
-            .members
+            .vms
             .keys()
             .filter(|name| !members.iter().any(|vm| vm.name == **name))
             .cloned()
             .collect();
         for vm in members {
-            self.members.insert(vm.name.clone(), vm);
+            self.vms.insert(vm.name.clone(), vm);
         }
         // A worker that is no longer listed gets no new work. Its tasks are
         // treated as stopped only when it has not responded for longer than its
         // lease.
         for name in unlisted {
-            if let Some(vm) = self.members.get_mut(&name) {
+            if let Some(vm) = self.vms.get_mut(&name) {
                 vm.leaving = true;
             }
         }
@@ -74,8 +74,8 @@
         self.readmit_workers();
     }
 
-    /// Lets leaving workers get work again when neither the list nor the worker
-    /// itself says any more that it is leaving.
+    /// Readmits the leaving workers that neither the platform's list nor their own
+    /// responses report as leaving any more.
     pub(super) fn readmit_workers(&mut self) {
         let Phase::Owning(owning) = &self.phase else {
             return;
@@ -86,7 +86,7 @@
             .workers()
             .filter(|(_, worker)| worker.health == WorkerHealth::Leaving)
             .filter(|(_, worker)| !self.self_reported_leaving.contains(&worker.name))
-            .filter(|(_, worker)| self.members.get(&worker.name).is_some_and(|vm| !vm.leaving))
+            .filter(|(_, worker)| self.vms.get(&worker.name).is_some_and(|vm| !vm.leaving))
             .map(|(_, worker)| worker.name.clone())
             .collect();
         for name in readmitted {
@@ -96,7 +96,7 @@
 
     /// Returns the workers among the VMs, as the core expects them.
     pub(super) fn worker_specs(&self) -> Vec<WorkerSpec> {
-        self.members
+        self.vms
             .values()
             .filter(|vm| vm.kind == VmKind::Worker)
             .map(|vm| WorkerSpec {
@@ -149,9 +149,9 @@
                 self.apply(Command::WorkerRestarted(worker.to_owned()));
             }
             Some(_) => {}
-            // A new owner does not know whether the worker restarted after its
-            // attempts were inspected, so that the tasks assumed to run there
-            // are inspected again.
+            // A new owner does not know whether the worker has restarted since its
+            // attempts were inspected, and therefore inspects the tasks assumed to
+            // run there again.
             None => self.apply(Command::Reinspect(worker.to_owned())),
         }
         if self.health_of(worker) == Some(WorkerHealth::Lost) {
@@ -190,12 +190,12 @@
         let worker = outgoing.worker.clone();
         let attempt = outbox::attempt_of(&outgoing.call);
         let outcome = match result {
-            Ok(answer) => owning.outbox.answered(&outgoing, answer, now_ms),
+            Ok(answer) => owning.outbox.handle_answer(&outgoing, answer, now_ms),
             Err(_) => {
                 metrics::counter!("fuchsiaslip_retries_total", "reason" => "worker_silent")
                     .increment(1);
                 match is_still_needed(&owning.cell, &outgoing) {
-                    true => owning.outbox.unanswered(outgoing, now_ms),
+                    true => owning.outbox.handle_no_answer(outgoing, now_ms),
                     false => CallOutcome::Nothing,
                 }
             }
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Schedules a call to a worker for now.
-    pub(super) fn send(&mut self, worker: WorkerKey, call: WorkerCall) {
+    /// Schedules a call to a worker, due immediately.
+    pub(super) fn schedule_call(&mut self, worker: WorkerKey, call: WorkerCall) {
         let now_ms = self.now_ms;
         if let Phase::Owning(owning) = &mut self.phase {
             let name = owning.cell.fleet().worker(worker).name.clone();
@@ -234,14 +234,14 @@
             }
             self.last_call_id += 1;
             let call = CallId(self.last_call_id);
-            let address = self.members.get(&outgoing.worker);
+            let address = self.vms.get(&outgoing.worker);
             self.actions.push(Action::Worker {
                 call,
                 worker: outgoing.worker.clone(),
                 address: address.map_or_else(String::new, |vm| vm.address.clone()),
                 request: outgoing.call.clone(),
             });
-            owning.outbox.sent(call, outgoing);
+            owning.outbox.record_sent(call, outgoing);
         }
     }
 }
