--- a/benches/failover.rs
+++ b/benches/failover.rs
@@ -4,8 +4,8 @@
 //! First, all daemons are killed and restarted, in fleets of several sizes;
 //! `cargo bench --bench failover -- herd` measures only this. Then the owner is repeatedly
 //! killed, frozen, cut off from the store or terminated. For each fault, with a fast and a
-//! slow store, the benchmark prints the time from the last start that the old owner ordered
-//! to the first that the new owner ordered.
+//! slow store, the benchmark prints the time from the last start under the old owner to the
+//! first under the new owner.
 
 #[expect(dead_code, reason = "tests use the rest")]
 #[path = "../tests/support/operator.rs"]
@@ -38,7 +38,7 @@
 /// Sizes of the fleets whose daemons are all restarted.
 const RESTARTED_FLEETS: [usize; 3] = [4, 30, 100];
 const WORKERS: usize = 8;
-/// Changes of owner in each case, too few for a p99 other than one of the longest times.
+/// Number of owner changes in each case. They are too few to tell a p99 from the maximum.
 const CHANGES: u64 = 8;
 /// Interval between jobs, which is the resolution of the measured times.
 const JOB_INTERVAL: Duration = Duration::from_millis(15);
@@ -166,7 +166,8 @@
         None
     }
 
-    /// Returns the time from the last start up to an epoch to the first of a later epoch.
+    /// Returns the time between the last start of the given or an earlier epoch and the first
+    /// start of a later epoch.
     fn gap(&self, epoch: u64) -> Option<Duration> {
         let world = self.operator.world();
         let starts = |later: bool| {
--- a/benches/recovery.rs
+++ b/benches/recovery.rs
@@ -39,7 +39,8 @@
 const PATCHES: u64 = 40;
 const DAEMONS_PER_DATA_CENTRE: usize = 9;
 const SETTLE_MS: u64 = 4_000;
-/// A multiple of both poll lengths, since all polls begin at the same time.
+/// Duration of the control measurement. It is a multiple of both poll durations because all
+/// polls start at the same time.
 const CONTROL_MS: u64 = 50_000;
 const POLL_MS: u64 = 10_000;
 const LONG_POLL_MS: u64 = 25_000;
@@ -77,7 +78,7 @@
             continue;
         };
         let killed = daemons.remove(owner);
-        // The killed daemon stays on the platform's list, as on a list that lags.
+        // The killed daemon stays on the platform's list, since real lists are updated late.
         let killed_ms = timer.now_ms();
         killed.kill();
         let keep_submitting = Rc::new(Cell::new(true));
@@ -218,7 +219,7 @@
     timer.sleep(500).await;
 }
 
-/// Measures the bytes and processor time of control work for each of `count` daemons
+/// Measures the network traffic and the processor time of each of `count` idle daemons
 /// that share `workers` workers.
 async fn control(workers: usize, count: usize, poll_ms: u64, timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, workers)]).expect("a port");
@@ -367,7 +368,7 @@
 }
 
 /// Measures for how long a worker under load still gets tasks after it reports that it
-/// is leaving. The platform's list reports this much later.
+/// is leaving. The platform's list shows the departure only much later.
 async fn leaving(timer: &Timer) {
     let platform = Platform::spawn(timer.clone(), &[fleet(DATA_CENTRE, 4)]).expect("a port");
     let owner = daemon("d0", DATA_CENTRE, &platform, timer, |_| {});
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,5 +1,5 @@
 //! Runs one data centre on loopback: a stand-in platform and three daemons serve a mixed
-//! set of jobs, and the daemon that owns the data centre is killed on the way.
+//! set of jobs, and the daemon that owns the data centre is killed meanwhile.
 //!
 //! Exits with a non-zero code if a job got no answer or a wrong one, or if more than two
 //! runs of it finished. The largest gang that runs has two members.
@@ -34,7 +34,7 @@
 
 const DATA_CENTRE: &str = "zg-dubrava";
 const DAEMONS: usize = 3;
-/// Time after which a job without an answer counts as lost.
+/// Time without an answer after which a job counts as lost.
 const JOB_TIMEOUT_MS: u64 = 25_000;
 /// Time from the first submission to the kill of the owner.
 const KILL_DELAY_MS: u64 = 2_500;
@@ -92,7 +92,7 @@
         submit_ms: 0,
     };
     let mut jobs = Vec::new();
-    // Forecasts fill the data centre, the guaranteed shape included.
+    // Forecasts use the whole data centre, including the capacity guaranteed to others.
     for at in 0..14 {
         let forecast = job(
             "forecast",
@@ -105,7 +105,7 @@
         );
         jobs.push(forecast);
     }
-    // A translation reclaims the guaranteed shape.
+    // A translation reclaims its account's guaranteed capacity.
     let translation = job("translation", "zadruga-token", 8, 2, true, 1_500, 200_000);
     jobs.push(Job {
         submit_ms: 1_000,
@@ -130,7 +130,7 @@
 async fn submit_and_wait(
     at: usize,
     job: Job,
-    daemons: Vec<String>,
+    addresses: Vec<String>,
     timer: Timer,
     tally: Rc<RefCell<BTreeMap<&'static str, Tally>>>,
 ) {
@@ -158,7 +158,11 @@
             let lost = format!("job {at} has no answer after {JOB_TIMEOUT_MS} ms");
             return update_tally(&tally, job.class, |tally| tally.failures.push(lost));
         }
-        let client = Client::open(&daemons[round % daemons.len()], job.token, timer.clone());
+        let client = Client::open(
+            &addresses[round % addresses.len()],
+            job.token,
+            timer.clone(),
+        );
         let response = match &accepted {
             None => client.submit(&key, &submit, 10_000).await,
             Some(name) => client.answer(name, 5_000).await,
@@ -220,9 +224,9 @@
 }
 
 /// Applies the sample configuration, trying the daemons in turn.
-async fn configure(daemons: &[String], timer: &Timer) -> Result<(), String> {
+async fn configure(addresses: &[String], timer: &Timer) -> Result<(), String> {
     for round in 0..200 {
-        let address = &daemons[round % daemons.len()];
+        let address = &addresses[round % addresses.len()];
         let client = Client::open(address, "operator-token", timer.clone());
         let applied = client.apply(CONFIGURATION).await;
         if applied.is_ok_and(|response| response.status.is_success()) {
@@ -273,7 +277,7 @@
 }
 
 /// Returns the number of jobs of which more than two runs finished.
-fn count_double_runs(platform: &Platform) -> usize {
+fn count_excess_runs(platform: &Platform) -> usize {
     let mut finished: BTreeMap<(u64, u32), usize> = BTreeMap::new();
     platform.each_worker(|worker| {
         for run in worker.runs.iter().filter(|run| run.finished) {
@@ -287,8 +291,8 @@
 
 /// Submits all jobs, kills the owner and returns the number of failures and double runs.
 async fn run(platform: Platform, timer: Timer, running: &[Daemon]) -> Result<usize, String> {
-    let daemons: Vec<String> = running.iter().map(|d| d.http_address.to_string()).collect();
-    configure(&daemons, &timer).await?;
+    let addresses: Vec<String> = running.iter().map(|d| d.http_address.to_string()).collect();
+    configure(&addresses, &timer).await?;
     println!("three daemons serve {DATA_CENTRE}; the sample configuration is in force");
     let tally = Rc::new(RefCell::new(BTreeMap::new()));
     let started_ms = timer.now_ms();
@@ -296,7 +300,7 @@
         .into_iter()
         .enumerate()
         .map(|(at, job)| {
-            let outcome = submit_and_wait(at, job, daemons.clone(), timer.clone(), tally.clone());
+            let outcome = submit_and_wait(at, job, addresses.clone(), timer.clone(), tally.clone());
             actix_rt::spawn(outcome)
         })
         .collect();
@@ -320,7 +324,7 @@
     is_settled.set(true);
     println!("{:>5} ms: all settled", timer.now_ms() - started_ms);
     let failures = print_results(&tally.borrow());
-    let doubled = count_double_runs(&platform);
+    let doubled = count_excess_runs(&platform);
     println!("lost or wrong: {failures}, run twice: {doubled}");
     Ok(failures + doubled)
 }
--- a/src/backend/http.rs
+++ b/src/backend/http.rs
@@ -6,7 +6,8 @@
 //! - VM list: `GET /vms?data_centre=D` or `GET /vms?kind=daemon`, in JSON, with `etag`
 //!   and `if-none-match`.
 //! - Workers: `POST /reserve`, `/start`, `/stop`, `/inspect`, `/poll`, and
-//!   `GET /answer`, with the parameters in the query.
+//!   `GET /answer`, with the parameters in the query. The body of `/start` is the
+//!   payload of the task.
 
 use super::{
     ListAnswer,
@@ -45,7 +46,7 @@
 pub const VERSION_HEADER: &str = "x-version";
 const STORE_TIMEOUT_MS: u64 = 1_000;
 const WORKER_TIMEOUT_MS: u64 = 1_000;
-/// Time that a poll may take beyond the wait that it asks for.
+/// Time added to the requested wait of a poll to get its timeout.
 const POLL_SLACK_MS: u64 = 2_000;
 const LIST_TIMEOUT_MS: u64 = 2_000;
 const MAX_LIST_BYTES: usize = 8 << 20;
@@ -84,8 +85,9 @@
     /// Bit mask of the accelerators to reserve.
     #[serde(skip_serializing_if = "is_zero")]
     pub mask: u64,
-    /// A duration in milliseconds: the lifetime of a reservation, the saved progress
-    /// of a start, the grace time of a stop, or the wait of a poll.
+    /// A duration in milliseconds, by call: for `/reserve` the lifetime of the
+    /// reservation, for `/start` the progress restored from a checkpoint, for `/stop`
+    /// the grace period, for `/poll` the longest wait.
     #[serde(skip_serializing_if = "is_zero")]
     pub ms: u64,
     /// Number of the last change that the caller knows.
@@ -150,7 +152,7 @@
         })
     }
 
-    /// Returns the workers' interface.
+    /// Returns a client of the workers.
     pub fn workers(&self) -> Workers {
         let platform = self.clone();
         Workers::from_fn(move |address, call| {
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -41,7 +41,7 @@
 
 const EXIT_USAGE: u8 = 2;
 const EXIT_NOT_RUN: u8 = 3;
-const EXIT_UNKNOWN: u8 = 4;
+const EXIT_OUTCOME_UNKNOWN: u8 = 4;
 const EXIT_NOT_FOUND: u8 = 5;
 
 /// Errors that end a command.
@@ -97,7 +97,7 @@
     fn exit_code(&self) -> ExitCode {
         match self {
             Self::Argument { .. } | Self::File { .. } => ExitCode::from(EXIT_USAGE),
-            Self::Client(_) => ExitCode::from(EXIT_UNKNOWN),
+            Self::Client(_) => ExitCode::from(EXIT_OUTCOME_UNKNOWN),
             Self::Missing { .. } => ExitCode::from(EXIT_NOT_FOUND),
             _ => ExitCode::FAILURE,
         }
@@ -197,7 +197,7 @@
         return Ok(match (error.not_run, response.status.as_u16()) {
             (true, _) => ExitCode::from(EXIT_NOT_RUN),
             (_, 404) => ExitCode::from(EXIT_NOT_FOUND),
-            (_, 504) => ExitCode::from(EXIT_UNKNOWN),
+            (_, 504) => ExitCode::from(EXIT_OUTCOME_UNKNOWN),
             _ => ExitCode::FAILURE,
         });
     }
@@ -221,8 +221,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Checks the ledger of a data centre in the store, and prints its jobs and changes if
-/// the action is `dump`.
+/// Decodes the ledger of a data centre from the store and prints a summary, and its jobs
+/// and changes too if the action is `dump`.
 async fn inspect_ledger(command: &LedgerCommand, timer: Timer) -> Result<ExitCode, Error> {
     let dump = match command.action.as_str() {
         "check" => false,
@@ -264,7 +264,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints what the store of an operators' platform holds of the fleet, or of one job.
+/// Prints the state of the fleet, or of one job, from the store of an operators'
+/// platform.
 async fn show_fleet(command: &FleetCommand, timer: Timer) -> Result<ExitCode, Error> {
     let Some(name) = &command.job else {
         let report = inspect_fleet(&command.store, timer).await?;
--- a/src/config/patch.rs
+++ b/src/config/patch.rs
@@ -24,12 +24,12 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Name that the operator gives to the patch. It makes submitting the patch twice
-    /// safe.
+    /// Id that the operator chooses. A patch whose id is in the history is not applied
+    /// again, so that a submission can be retried safely.
     pub id: String,
     /// The version that the patch was written against.
     pub base_version: u64,
-    /// New weights.
+    /// Weights to replace the present ones; `None` keeps them.
     #[serde(default)]
     pub weights: Option<Weights>,
     /// Operators to add or replace by name.
@@ -57,7 +57,7 @@
 pub struct PatchSummary {
     /// The version that the patch created.
     pub version: u64,
-    /// The name that the operator gave to the patch.
+    /// The id that the operator chose for the patch.
     pub id: String,
     /// The operator who submitted it.
     pub operator: String,
@@ -91,7 +91,7 @@
         base: u64,
         /// Version in force.
         current: u64,
-        /// What the versions in between changed.
+        /// Changes of the versions after `base`, separated by `; `.
         changed: String,
     },
     /// The patch has no id.
@@ -186,7 +186,7 @@
         self.history.iter().find(|summary| summary.id == patch_id)
     }
 
-    /// Returns the version that `patch` makes of this one.
+    /// Returns the next version, which is this one with `patch` applied.
     ///
     /// # Errors
     ///
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -74,7 +74,7 @@
     pub accelerators: u16,
 }
 
-/// A worker and the notification of its changes.
+/// A worker, and the notification sent when it changes.
 #[derive(Debug)]
 struct WorkerSlot {
     stand_in: WorkerStandIn,
@@ -183,7 +183,7 @@
                 .disable_signals()
                 .listen("platform", listener, factory);
             if let Ok(server) = server {
-                // Nothing stops the server before the process ends.
+                // The server runs until the process exits.
                 let _ = server.run().await;
             }
         });
@@ -448,8 +448,8 @@
         let now_ms = self.timer.now_ms();
         match self.with_worker(name, |worker| worker.handle(call, now_ms)) {
             Some(Ok(answer)) => worker_response(answer),
-            // An unreachable worker does not answer. The caller's own timeout is meant to
-            // end the call first.
+            // An unreachable worker does not answer. The caller's timeout is shorter than
+            // this sleep.
             Some(Err(_)) => {
                 self.timer.sleep(KEEP_ALIVE.as_millis() as u64).await;
                 empty_response(StatusCode::GATEWAY_TIMEOUT)
@@ -499,8 +499,8 @@
                     .unwrap_or(until_ms)
                     .min(until_ms)
             };
-            // Waits for a call to the worker, the next change that is due by time, or the
-            // end of the poll, whichever comes first.
+            // Waits for a call to the worker, its next timed change or the end of the
+            // poll, whichever comes first.
             let _ = self
                 .timer
                 .timeout(next_ms.saturating_sub(now_ms).max(1), next_change)
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -61,7 +61,7 @@
     pub mask: AcceleratorMask,
 }
 
-/// Stage of an attempt on the worker.
+/// Lifecycle stage of an attempt on the worker.
 #[derive(Clone, Debug)]
 enum Stage {
     Reserved {
@@ -98,9 +98,9 @@
     leaving: bool,
     /// Faults that are switched on.
     pub faults: WorkerFaults,
-    /// Every run so far, also those before a restart.
+    /// All runs, including those before restarts.
     pub runs: Vec<Run>,
-    /// Time at which the latest task began, in milliseconds.
+    /// Time of the latest task start, in milliseconds.
     pub last_start_ms: Option<u64>,
 }
 
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Returns the time at which the next task changes without a call.
+    /// Returns the time of the next task state change that no call causes.
     pub fn next_change_ms(&self) -> Option<u64> {
         let changes = self.tasks.iter();
         changes
@@ -349,7 +349,7 @@
             .min()
     }
 
-    /// Returns when and to which state a task changes without a call.
+    /// Returns the time and the new state of a task's next change that no call causes.
     fn next_change(&self, attempt: AttemptId, task: &Task) -> Option<(u64, TaskState)> {
         match task.stage {
             Stage::Ended(_) => None,
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -21,7 +21,7 @@
 };
 use tokio::sync::oneshot;
 
-/// How long the service sleeps when nobody waits.
+/// How long the service sleeps while there are no registrations.
 const IDLE_MS: u64 = 60_000;
 
 /// The timeout expired before the future was ready.
@@ -34,7 +34,7 @@
 /// largest entry first.
 type Deadline = Reverse<(u64, u64)>;
 
-/// A request to be woken at a time.
+/// A request to be woken at `at_ms`.
 struct Registration {
     at_ms: u64,
     wake: oneshot::Sender<u64>,
@@ -108,7 +108,8 @@
     }
 
     /// Returns ticks every `period_ms`, starting one period from now. A subscriber
-    /// that is late skips the ticks that it missed.
+    /// that is more than one period late gets a single tick in place of those that it
+    /// missed, and later ticks are counted from that one.
     pub fn interval(&self, period_ms: u64) -> Ticks {
         Ticks {
             timer: self.clone(),
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -25,10 +25,10 @@
 };
 use bytes::Bytes;
 
-/// One message of a connection.
+/// One message on a connection.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// The content; `None` if its kind is unknown to this version.
+    /// The content; `None` if this version of the program does not know its kind.
     #[prost(oneof = "FrameKind", tags = "1, 2, 3, 4")]
     pub kind: Option<FrameKind>,
 }
@@ -77,7 +77,7 @@
     /// Version of the configuration in force at the daemon.
     #[prost(uint64, tag = "3")]
     pub configuration_version: u64,
-    /// Time since that version was confirmed to be the current one, in milliseconds.
+    /// Age of the latest confirmation that this version is the current one, in milliseconds.
     #[prost(uint64, tag = "4")]
     pub confirmed_age_ms: u64,
     /// Whether the daemon is draining.
@@ -173,12 +173,12 @@
     Unresponsive(u64),
     /// [`WorkerUpdate::Responded`].
     #[prost(message, tag = "4")]
-    Seen(SeenBody),
+    Responded(RespondedBody),
 }
 
-/// Content of [`WorkerUpdate::Responded`]: the worker responded.
+/// Content of [`WorkerUpdate::Responded`].
 #[derive(Clone, Copy, Eq, PartialEq, prost::Message)]
-pub struct SeenBody {
+pub struct RespondedBody {
     /// The worker's incarnation.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
@@ -245,7 +245,7 @@
     /// Name of the [`RefusalReason`].
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// Milliseconds after which submitting again may succeed; 0 for never.
+    /// Milliseconds to wait before submitting again; 0 if a retry cannot succeed.
     #[prost(uint64, tag = "2")]
     pub retry_after_ms: u64,
     /// Whether the job did not run and will not run.
@@ -429,7 +429,7 @@
             WorkerUpdate::Responded {
                 incarnation,
                 leaving,
-            } => NewsKind::Seen(SeenBody {
+            } => NewsKind::Responded(RespondedBody {
                 incarnation: *incarnation,
                 leaving: *leaving,
             }),
@@ -450,7 +450,7 @@
             NewsKind::Unresponsive(unresponsive_ms) => {
                 WorkerUpdate::Unresponsive { unresponsive_ms }
             }
-            NewsKind::Seen(body) => WorkerUpdate::Responded {
+            NewsKind::Responded(body) => WorkerUpdate::Responded {
                 incarnation: body.incarnation,
                 leaving: body.leaving,
             },
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -23,7 +23,7 @@
     ReplyFrame,
     RequestBody,
     RequestFrame,
-    SeenBody,
+    RespondedBody,
     SubmitBody,
     WorkerUpdateBody,
     WorkersBody, //
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Tests of tasks that crash the workers on which they start, and of the tasks beside them.
+//! Tests of tasks that crash the workers on which they start, and of other tasks on the
+//! same workers.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -37,10 +38,10 @@
 };
 use std::collections::HashMap;
 
-/// Most starts of a task that crashes its workers: after three crashes it may be started
-/// twice more.
+/// Maximum number of starts of a task that crashes its workers: three crashes and two more
+/// starts.
 const MAX_STARTS: usize = 5;
-/// Longer than six crashes and the restarts of their workers take.
+/// More time than six crashes and the restarts of the workers take.
 const LONG_ENOUGH_MS: u64 = 30_000;
 const STEP_MS: u64 = 10;
 
@@ -120,7 +121,7 @@
 
 /// Guards against uncounted crashes when owners are killed after a single failed poll. Only
 /// the first owner lives long enough for a second one. The others close the worker after
-/// the first, since it has a suspect.
+/// the first, since it has a suspect, a run that may have caused the crash.
 #[test]
 fn a_crashing_task_is_given_up_across_brief_owners() {
     let (starts, status) =
@@ -282,8 +283,8 @@
     fleet
 }
 
-/// Guards against giving up a job because its workers crashed after its runs had ended, while
-/// polls hung from before the end of a run until after the restart.
+/// Guards against failing a job because its workers crashed after its runs had ended. Polls
+/// went unanswered from before the end of a run until after the restart.
 #[test]
 fn a_run_that_may_have_ended_before_its_worker_crashed_is_not_the_only_suspect() {
     let fleet = crash_while_unresponsive(80, true, 600);
@@ -358,21 +359,21 @@
     fleet.scheduler.job_status(id)
 }
 
-/// Guards against giving up sound jobs that share workers with a crashing task. They were
-/// lost with it, started beside it again on the next worker, and were counted as crashing
-/// as well.
+/// Guards against failing healthy jobs that share workers with a crashing task. Their runs
+/// were lost with it and started again next to it on another worker, so they were taken for
+/// crashing tasks too.
 #[test]
-fn jobs_beside_a_crashing_task_are_done() {
+fn jobs_that_share_workers_with_a_crashing_task_are_done() {
     let mut fleet = Fleet::with_workers(3);
     let id = submit_crashing(&mut fleet, 1, record("plain", vec![step(1, 1)]));
-    let sound_jobs: Vec<JobId> = (2..9)
+    let healthy_jobs: Vec<JobId> = (2..9)
         .map(|id| fleet.submit(id, record("plain", vec![step(1, 1)])))
         .collect();
 
     advance_with_runs(&mut fleet, LONG_ENOUGH_MS, 1_500);
 
     assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
-    for other in sound_jobs {
+    for other in healthy_jobs {
         assert_eq!(
             status_of(&fleet, other),
             Some(JobStatus::Completed),
@@ -421,7 +422,8 @@
     assert_eq!(status_of(&fleet, other), Some(JobStatus::Completed));
 }
 
-/// A task that crashes its worker only after seconds looks like one that is lost by chance.
+/// A task that crashes its worker only after seconds resembles one whose worker crashes for
+/// another reason.
 /// It is still given up within the allowed number of starts.
 #[test]
 fn a_task_that_crashes_its_workers_late_is_given_up() {
@@ -436,8 +438,8 @@
     assert_eq!(status_of(&fleet, id), Some(JobStatus::Failed));
 }
 
-/// Half of the workers crash in turn under long jobs. None of the jobs causes the crashes,
-/// and each is done on a worker that stays up.
+/// Half of the workers crash in turn while they run long jobs. None of the jobs causes the
+/// crashes, and each is done on a worker that stays up.
 #[test]
 fn jobs_on_unreliable_workers_are_done() {
     const RUN_MS: u64 = 2_400;
@@ -479,11 +481,11 @@
     status_of(&fleet, id)
 }
 
-/// Guards against failing sound jobs. With a third of the workers crashing every five
-/// seconds, 8 jobs failed in 12 days, five of them after they were lost with four workers
-/// long after their starts (E324 `at_all`, `crashes_at_start` 0).
+/// Guards against failing healthy jobs. With a third of the workers crashing every five
+/// seconds, 8 jobs failed in 12 days, five of them after four workers crashed during their
+/// runs, long after the starts (E324 `at_all`, `crashes_at_start` 0).
 #[test]
-fn a_sound_task_that_is_lost_repeatedly_is_done() {
+fn a_healthy_task_whose_workers_crash_repeatedly_is_done() {
     assert_eq!(status_after_losses(1, 100), Some(JobStatus::Completed));
     assert_eq!(status_after_losses(4, 1_500), Some(JobStatus::Completed));
 }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -59,7 +59,7 @@
 /// workers, did not respond for a second, and was replaced by the next one, which did
 /// the same.
 #[test]
-fn a_large_fleet_gives_its_owner_more_time_and_a_new_owner_most() {
+fn the_takeover_delay_is_longer_in_a_large_fleet_and_longest_for_a_new_owner() {
     let mut large = view(Some(owner_status()));
     large.reachable = (0..299)
         .map(|at| candidate(&format!("c{at}"), 250))
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn stronger_daemons_come_first() {
+fn candidates_with_more_cpu_take_over_first() {
     let mut weak = view(Some(owner_status()));
     weak.reachable.push(candidate("z", 500));
 
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -106,15 +106,15 @@
 /// with the end of the first member, and acknowledged the end of the second, which changed
 /// nothing more. After the first worker was lost, the next owner knew of no failure.
 #[test]
-fn an_end_whose_failure_was_counted_with_another_member_waits_for_the_store_too() {
+fn the_ends_of_all_members_of_a_failed_gang_wait_for_the_store() {
     let (mut fleet, job, _) = Fleet::with_job(2, record("plain", vec![gang(2, 8)]));
     fleet.store_answers = false;
 
     fleet.end_all(job, EndKind::Failed);
     fleet.advance(500);
 
-    assert_eq!(fleet.highest_last_seen["w0"], 0);
-    assert_eq!(fleet.highest_last_seen["w1"], 0);
+    assert_eq!(fleet.highest_acknowledged["w0"], 0);
+    assert_eq!(fleet.highest_acknowledged["w1"], 0);
 }
 
 /// Guards against a task that runs again after it completed: a new owner, which had not
@@ -122,14 +122,14 @@
 #[test]
 fn an_end_of_a_job_that_is_not_known_yet_counts_once_it_is() {
     let (mut fleet, id, job) = end_received_before_its_job();
-    assert_eq!(fleet.highest_last_seen["w0"], 0, "its job may be stored");
+    assert_eq!(fleet.highest_acknowledged["w0"], 0, "its job may be stored");
 
     send_job(&mut fleet, id, &job);
     fleet.reports_jobs_read = true;
     fleet.advance(100);
 
     assert_eq!(fleet.scheduler.job_status(id), Some(JobStatus::Completed));
-    assert_eq!(fleet.highest_last_seen["w0"], 1);
+    assert_eq!(fleet.highest_acknowledged["w0"], 1);
     assert!(fleet.starts.is_empty(), "the task was done already");
 }
 
@@ -143,7 +143,7 @@
     fleet.reports_jobs_read = true;
     fleet.advance(100);
 
-    assert_eq!(fleet.highest_last_seen["w0"], 1);
+    assert_eq!(fleet.highest_acknowledged["w0"], 1);
     let released = fleet.actions.iter().any(|action| {
         matches!(action, Action::Decided(Decision::EndReleased { name, .. }) if name.task.job == id)
     });
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -54,9 +54,9 @@
 fn two_data_centres(workers_in_each: usize) -> Fleet {
     let mut fleet = Fleet::with_workers(0);
     for data_centre in ["a", "b"] {
-        for at in 0..workers_in_each {
-            let rack = format!("r{data_centre}{}", at / 2);
-            fleet.add_worker_in(&format!("{data_centre}{at}"), &rack, data_centre);
+        for index in 0..workers_in_each {
+            let rack = format!("r{data_centre}{}", index / 2);
+            fleet.add_worker_in(&format!("{data_centre}{index}"), &rack, data_centre);
         }
     }
     fleet.advance(500);
@@ -108,8 +108,8 @@
 
 #[test]
 fn nothing_starts_in_an_emptied_data_centre_and_what_runs_there_ends_by_itself() {
-    // Operators empty `a` to work on its power while jobs keep coming. Tasks that run
-    // there may end; a new one there would be lost.
+    // Operators empty `a` to maintain its power supply while jobs keep arriving. Tasks
+    // that run there may end; a new one there would be lost.
     let mut fleet = two_data_centres(2);
     fleet.submit(1, record("plain", vec![step(6, 1)]));
     fleet.advance(50);
@@ -165,9 +165,9 @@
 }
 
 #[test]
-fn a_gang_that_is_half_placed_starts_whole_elsewhere() {
+fn a_partially_started_gang_starts_as_a_whole_elsewhere() {
     // One member of a gang runs in `b`; the start of another member in `a` had no
-    // answer when the order came. The gang cannot become whole there.
+    // answer when the order came. The gang cannot be completed there.
     let mut fleet = two_data_centres(2);
     let blocker = fleet.submit(1, record("plain", vec![step(1, 8)]));
     fleet.advance(50);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn capacity_being_freed_in_an_emptied_data_centre_is_not_waited_for() {
+fn guaranteed_work_does_not_wait_for_capacity_being_freed_in_an_emptied_data_centre() {
     // Runs in `a` are being stopped for guaranteed work when the order comes. The
     // capacity that they free can no longer be used for it.
     let mut fleet = two_data_centres(1);
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn a_data_centre_that_is_given_back_is_used_again_at_once() {
+fn a_data_centre_is_used_again_at_once_after_its_order_is_withdrawn() {
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["a"]);
     fleet.submit(1, record("plain", vec![step(16, 1)]));
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn an_order_that_is_taken_back_at_once_leaves_nothing_behind() {
+fn an_order_that_is_withdrawn_at_once_has_no_effect() {
     let mut fleet = two_data_centres(1);
     order(&mut fleet, &["a", "b"]);
     order(&mut fleet, &[]);
@@ -406,7 +406,7 @@
             _ => None,
         });
     assert!(
-        objective.is_some_and(|length_ms| length_ms < 20_000),
+        objective.is_some_and(|objective_ms| objective_ms < 20_000),
         "a lack of capacity does not lengthen a job's objective: {objective:?}"
     );
 }
@@ -636,8 +636,8 @@
 const WORKERS: usize = 6;
 
 /// The name of worker `at`; there are two in each data centre.
-fn worker_name(at: usize) -> String {
-    format!("{}{}", DATA_CENTRES[at / 2], at % 2)
+fn worker_name(index: usize) -> String {
+    format!("{}{}", DATA_CENTRES[index / 2], index % 2)
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -652,7 +652,7 @@
             .prop_map(|(queue, count, accelerators, kind)| Event::Submit {
                 queue, count, accelerators, kind
             }),
-        5 => (0..WORKERS, end).prop_map(|(at, kind)| Event::End(at, kind)),
+        5 => (0..WORKERS, end).prop_map(|(index, kind)| Event::End(index, kind)),
         2 => (0..WORKERS).prop_map(Event::Unresponsive),
         3 => (0..WORKERS).prop_map(Event::Responsive),
         1 => any::<bool>().prop_map(Event::Stops),
@@ -674,9 +674,9 @@
 impl RandomFleet {
     fn start() -> Self {
         let mut fleet = Fleet::with_workers(0);
-        for at in 0..WORKERS {
-            let data_centre = DATA_CENTRES[at / 2];
-            fleet.add_worker_in(&worker_name(at), &format!("r{data_centre}"), data_centre);
+        for index in 0..WORKERS {
+            let data_centre = DATA_CENTRES[index / 2];
+            fleet.add_worker_in(&worker_name(index), &format!("r{data_centre}"), data_centre);
         }
         fleet.advance(500);
         Self {
@@ -692,7 +692,7 @@
         match event {
             Event::Order(bits) => {
                 let selected = DATA_CENTRES.iter().enumerate();
-                let selected = selected.filter(|(at, _)| bits & (1 << at) != 0);
+                let selected = selected.filter(|(index, _)| bits & (1 << index) != 0);
                 self.emptied = selected.map(|(_, name)| *name).collect();
                 order(&mut self.fleet, &self.emptied);
             }
@@ -702,17 +702,17 @@
                 accelerators,
                 kind,
             } => self.submit(*queue, *count, *accelerators, *kind),
-            Event::End(at, kind) => {
-                let worker = self.fleet.workers.get_mut(&worker_name(*at));
+            Event::End(index, kind) => {
+                let worker = self.fleet.workers.get_mut(&worker_name(*index));
                 let fake = worker.expect("a known worker");
                 let names: Vec<_> = fake.running.keys().copied().collect();
                 for name in names {
                     fake.end(name, *kind);
                 }
             }
-            Event::Unresponsive(at) => self.fleet.unresponsive.push(worker_name(*at)),
-            Event::Responsive(at) => {
-                let name = worker_name(*at);
+            Event::Unresponsive(index) => self.fleet.unresponsive.push(worker_name(*index)),
+            Event::Responsive(index) => {
+                let name = worker_name(*index);
                 self.fleet
                     .unresponsive
                     .retain(|unresponsive| *unresponsive != name);
@@ -769,7 +769,7 @@
         self.checked = self.fleet.starts.len();
     }
 
-    /// Withdraws all orders, lets everything respond, and checks that every job ends.
+    /// Withdraws all orders, makes all workers respond, and checks that every job ends.
     fn settle(&mut self) {
         self.fleet.unresponsive.clear();
         self.fleet.stops_take_effect = true;
--- a/tests/evacuation/whole_path.rs
+++ b/tests/evacuation/whole_path.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn an_order_given_and_taken_back_between_two_answers_leaves_nothing() {
+fn an_order_given_and_withdrawn_between_two_answers_has_no_effect() {
     let mut orders = EmptyingOrders::default();
     orders.apply_list(std::iter::empty(), 4, 1_000);
     orders.apply_changes([(EAST, 6, false), (EAST, 5, true)].into_iter(), 6, 1_100);
--- a/tests/foreign/scheduler.rs
+++ b/tests/foreign/scheduler.rs
@@ -82,7 +82,7 @@
     fleet.advance(500);
     let completed = fleet.scheduler.job_status(first);
     assert_eq!(completed, Some(JobStatus::Completed), "its end is received");
-    assert_eq!(fleet.highest_last_seen[&worker], 1, "and acknowledged");
+    assert_eq!(fleet.highest_acknowledged[&worker], 1, "and acknowledged");
     fleet.send_input(Input::WorkerRegistered(worker_info(&worker, "r1")));
     fleet.advance(500);
     assert_eq!(starts_on(&fleet, &worker), 5, "it serves again");
@@ -257,7 +257,7 @@
     );
     next.end_all(job, EndKind::Done);
     next.advance(1_000);
-    assert_eq!(next.highest_last_seen[&worker], 0, "its end is not lost");
+    assert_eq!(next.highest_acknowledged[&worker], 0, "its end is not lost");
     assert_eq!(next.starts, []);
 
     next.send_input(Input::JobReadable {
@@ -269,7 +269,7 @@
 
     assert_eq!(next.scheduler.job_status(job), Some(JobStatus::Completed));
     assert_eq!(
-        next.highest_last_seen[&worker], 1,
+        next.highest_acknowledged[&worker], 1,
         "now its end is acknowledged"
     );
     assert_eq!(next.starts, [], "nothing ran twice");
@@ -326,7 +326,7 @@
     assert_eq!(next.stops, [(run, worker.clone())]);
     assert_eq!(next.running(), []);
     assert_eq!(
-        next.highest_last_seen[&worker], 1,
+        next.highest_acknowledged[&worker], 1,
         "its end is acknowledged"
     );
 }
--- a/tests/owner_cut_off.rs
+++ b/tests/owner_cut_off.rs
@@ -191,7 +191,7 @@
 /// ended. It waited for one lease, instead of the time in which the first owner may
 /// still grant leases.
 #[test]
-fn a_restarted_second_owner_does_not_hide_a_first_one_that_still_runs() {
+fn a_third_owner_waits_for_the_leases_of_the_first_although_the_second_restarted() {
     /// An owner grants leases of 7 s until 6 s after it last confirmed its epoch.
     const LEASE_EXPIRY_TIME: Duration = Duration::from_millis(11_500);
     let operator = Operator::spawn(2);
--- a/tests/owner_failures.rs
+++ b/tests/owner_failures.rs
@@ -562,7 +562,7 @@
 /// The effect that reports an acceptance follows the change that persists it and
 /// is gated on that change.
 #[test]
-fn an_acceptance_is_gated_on_its_record() {
+fn an_acceptance_is_reported_only_after_its_record_is_stored() {
     let mut cell = small_cell();
     let job = submission("k", "b", "overnight", 1, 10);
 
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -9,8 +9,8 @@
     Fleet,
     gang,
     record,
+    same_rack_gang_wait_ms, //
     step,
-    wait_of_a_same_rack_gang, //
 };
 use fuchsiaslip::core::JobId;
 use fuchsiaslip::scheduler::{
@@ -57,7 +57,7 @@
     };
     let mut fleet = Fleet::with_tuning(1, tuning);
 
-    let waited_ms = wait_of_a_same_rack_gang(&mut fleet);
+    let waited_ms = same_rack_gang_wait_ms(&mut fleet);
 
     assert!(waited_ms < RECLAIM_MS, "began after {waited_ms} ms");
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -418,7 +418,7 @@
 /// worker, and all work waited 7.3 s for the leases of two tasks that might have run
 /// there.
 #[test]
-fn a_worker_that_left_holds_up_only_its_own_tasks() {
+fn a_worker_that_left_delays_only_its_own_tasks() {
     let mut fleet = Fleet::with_workers(2);
     let first = (JobId(1), record("plain", vec![step(1, 8)]));
     fleet.submit(1, first.1.clone());
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -51,7 +51,7 @@
     fleet.advance(SETTLED_MS);
     fleet.end_all(id, EndKind::Done);
     fleet.advance(SETTLED_MS);
-    assert_eq!(fleet.highest_last_seen["w0"], 3);
+    assert_eq!(fleet.highest_acknowledged["w0"], 3);
     restart(&mut fleet);
     fleet.advance(SETTLED_MS);
     fleet.starts.clear();
@@ -440,7 +440,7 @@
     fleet.advance(SETTLED_MS);
     fleet.end_all(first, EndKind::Done);
     fleet.advance(SETTLED_MS);
-    assert_eq!(fleet.highest_last_seen["w0"], 3);
+    assert_eq!(fleet.highest_acknowledged["w0"], 3);
     let second = fleet.submit(9, record("plain", vec![step(1, 1)]));
     fleet.advance(SETTLED_MS);
     fleet.defers_progress = true;
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -10,8 +10,8 @@
     gang,
     leaving_info,
     record,
+    same_rack_gang_wait_ms, //
     step,
-    wait_of_a_same_rack_gang, //
 };
 use fuchsiaslip::core::JobId;
 use fuchsiaslip::scheduler::{
@@ -72,13 +72,16 @@
     fleet.end_all(job, EndKind::Done);
     fleet.advance(200);
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Running));
-    assert_eq!(fleet.highest_last_seen["w0"], 0, "the end is not durable");
+    assert_eq!(
+        fleet.highest_acknowledged["w0"], 0,
+        "the end is not durable"
+    );
 
     let (change, _) = fleet.scheduler.progress(job).unwrap();
     fleet.send_input(Input::ProgressStored { job, change });
     fleet.advance(200);
     assert_eq!(fleet.scheduler.job_status(job), Some(JobStatus::Completed));
-    assert_eq!(fleet.highest_last_seen["w0"], 1);
+    assert_eq!(fleet.highest_acknowledged["w0"], 1);
 }
 
 #[test]
@@ -363,10 +366,10 @@
 /// accepted, where 2.7 s are promised. No rack had capacity for the whole gang, and it
 /// waited for one as long as work without a promise does.
 #[test]
-fn guaranteed_work_does_not_wait_for_its_rack_beyond_its_promise() {
+fn guaranteed_work_does_not_wait_for_its_rack_beyond_its_bound() {
     let mut fleet = Fleet::with_workers(1);
 
-    let waited_ms = wait_of_a_same_rack_gang(&mut fleet);
+    let waited_ms = same_rack_gang_wait_ms(&mut fleet);
 
     assert!(waited_ms < 1_700, "began after {waited_ms} ms");
 }
@@ -401,7 +404,7 @@
     fleet.send_input(Input::ProgressStored { job, change });
     fleet.advance(10);
     assert_eq!(polls(&fleet), before + 1, "one poll acknowledges the end");
-    assert_eq!(fleet.highest_last_seen["w0"], 1);
+    assert_eq!(fleet.highest_acknowledged["w0"], 1);
 }
 
 /// Guards against a job that fails through the fault of a worker. The only worker with free
@@ -434,7 +437,7 @@
 /// order was sent again in the same millisecond, 5,283 times (runs 7 to 5,289), until a
 /// newer answer gave the clock.
 #[test]
-fn a_start_that_came_too_late_waits_for_the_workers_clock() {
+fn a_start_refused_as_late_is_repeated_only_after_a_new_reading_of_the_workers_clock() {
     const POLLS_PER_SECOND: usize = 10;
     let mut fleet = Fleet::with_workers(1);
     fleet.refusal = Some(StartRefusal::Late);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -48,7 +48,7 @@
     UNIX_EPOCH, //
 };
 
-/// Bound on each wait of a soak after all faults are repaired.
+/// Timeout of each wait after all faults are repaired.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const ROUNDS: u32 = 12;
@@ -56,14 +56,15 @@
 /// All faults are repaired after this many rounds.
 const ROUNDS_PER_REPAIR: u32 = 3;
 const JOBS_PER_ROUND: u64 = 3;
-/// Occurrences may start this much before they are due.
+/// Tolerance for occurrences that start before they are due.
 const EARLY_MS: u64 = 250;
 const MAX_ATTEMPTS: usize = 8;
 /// One in this many jobs crashes every worker that starts it.
 const CRASHING_ONE_IN: u32 = 8;
-/// Most starts of a task that crashes its workers: two more after the third crash.
+/// Maximum number of starts of a task that crashes its workers: three crashes and two more
+/// starts.
 const MAX_CRASHING_STARTS: usize = 5;
-/// A job may be given up after this many crashes under one of its tasks.
+/// A job may be failed after this many worker crashes during runs of one of its tasks.
 const MIN_CRASHES_TO_GIVE_UP: usize = 2;
 /// The capacity of a worker changes in one of this many rounds.
 const ROUNDS_PER_RESIZE: u32 = 2;
@@ -79,8 +80,8 @@
 const ORDER_BOUND: Duration = Duration::from_millis(5_000);
 /// The same without faults: the bound that operators can rely on.
 const FAULTLESS_ORDER_BOUND: Duration = Duration::from_millis(2_000);
-/// Changes a seed into that of the emptying orders. They have their own random numbers, so
-/// that each seed still gives the same faults.
+/// Combined with a seed to get the seed of the generator of emptying orders. A separate
+/// generator keeps the faults of each seed unchanged.
 const ORDERS_STREAM: u64 = 0x0d0e_0a0c;
 /// An order is given or withdrawn in one of this many rounds.
 const ROUNDS_PER_ORDER: u32 = 3;
@@ -131,8 +132,8 @@
 struct Soak {
     seed: u64,
     random: StdRng,
-    /// Decides when the owner is cut off. Like the generators below, it is separate so that
-    /// each seed still gives the same other faults.
+    /// Decides when the owner is cut off. This generator and those below are separate, so that
+    /// adding them left the other faults of each seed unchanged.
     owner_cut_random: StdRng,
     /// Chooses what another writer writes to the store.
     other_writer_random: StdRng,
@@ -192,9 +193,9 @@
             .collect();
         let test = 10 + (seed % 200) as u8;
         let daemons: Vec<Daemon> = (0..daemon_count)
-            .map(|at| {
-                let ip = loopback(test, at as u8);
-                Daemon::spawn(&format!("d{at}"), ip, store_links[at].address)
+            .map(|index| {
+                let ip = loopback(test, index as u8);
+                Daemon::spawn(&format!("d{index}"), ip, store_links[index].address)
             })
             .collect();
         let clients = daemons.iter().map(PersistentClient::of).collect();
@@ -294,8 +295,8 @@
             0 => world.put_bytes(&key, &number.to_le_bytes()),
             1 => world.put_unencoded(&key),
             2 => {
-                let theirs = world.value(&world.worker_key(other));
-                world.put(&key, &theirs.unwrap_or_default());
+                let other_entry = world.value(&world.worker_key(other));
+                world.put(&key, &other_entry.unwrap_or_default());
             }
             3 => {
                 let mut entry = world.value(&key).unwrap_or_default();
@@ -314,9 +315,9 @@
         if self.crash_random.random_range(0..ROUNDS_PER_RESIZE) > 0 {
             return;
         }
-        let at = self.crash_random.random_range(0..self.worker_links.len());
+        let index = self.crash_random.random_range(0..self.worker_links.len());
         let accelerators = self.crash_random.random_range(2..=ACCELERATORS);
-        self.operator.world().resize_worker(at, accelerators);
+        self.operator.world().resize_worker(index, accelerators);
     }
 
     /// Sometimes crashes some or all workers at the same moment; they restart at once. In
@@ -365,7 +366,7 @@
     fn withdraw_orders(&mut self) {
         let orders = self.orders.iter_mut();
         for order in orders.filter(|order| order.withdrawn.is_none()) {
-            // The order does not forbid starts from here on.
+            // From here on, starts are allowed again.
             order.withdrawn = Some(Instant::now());
             let name = data_centre_name(order.data_centre);
             self.operator.world().withdraw_emptying(&name);
@@ -426,8 +427,8 @@
                 self.daemons[daemon].kill();
                 self.daemons[daemon].start();
                 // The new process has not received a signal.
-                self.terminating.retain(|&at| at != daemon);
-                self.paused.retain(|&at| at != daemon);
+                self.terminating.retain(|&index| index != daemon);
+                self.paused.retain(|&index| index != daemon);
             }
             6 if !self.terminating.contains(&daemon) => {
                 self.daemons[daemon].signal(Signal::STOP);
@@ -442,12 +443,12 @@
     }
 
     fn repair_faults(&mut self) {
-        for at in self.paused.drain(..) {
-            self.daemons[at].signal(Signal::CONT);
+        for index in self.paused.drain(..) {
+            self.daemons[index].signal(Signal::CONT);
         }
-        for at in self.terminating.drain(..) {
-            self.daemons[at].wait();
-            self.daemons[at].start();
+        for index in self.terminating.drain(..) {
+            self.daemons[index].wait();
+            self.daemons[index].start();
         }
         for link in self.store_links.iter().chain(&self.worker_links) {
             link.set_mode(LinkMode::Passing);
@@ -457,10 +458,10 @@
         let mut world = self.operator.world();
         world.mode = StoreMode::Serving;
         world.late_starts = false;
-        for at in 0..self.worker_links.len() {
-            world.cut_worker(at, false);
-            world.set_failing(at, false);
-            world.register(at, "ready");
+        for index in 0..self.worker_links.len() {
+            world.cut_worker(index, false);
+            world.set_failing(index, false);
+            world.register(index, "ready");
         }
     }
 
@@ -503,9 +504,9 @@
         }
         let queue = ["u", "q"][self.random.random_range(0..2)];
         let path = format!("/{queue}/{job:016x}");
-        let at = self.random_daemon();
+        let index = self.random_daemon();
         self.operator.world().record_job(job, &body);
-        let answer = self.clients[at].request("POST", &path, &body.to_string());
+        let answer = self.clients[index].request("POST", &path, &body.to_string());
         let outcome = match answer {
             Answer::Status(200, _) => SubmitOutcome::Accepted,
             Answer::Status(429 | 503, _) => SubmitOutcome::Refused,
@@ -534,9 +535,9 @@
             return;
         }
         let job = open[self.random.random_range(0..open.len())];
-        let at = self.random_daemon();
+        let index = self.random_daemon();
         let path = self.sent[&job].path.clone();
-        let answer = self.clients[at].request("DELETE", &path, "");
+        let answer = self.clients[index].request("DELETE", &path, "");
         let sent = self.sent.get_mut(&job).expect("it was sent");
         sent.cancelling = true;
         sent.cancelled = matches!(answer, Answer::Status(200, _));
@@ -565,8 +566,8 @@
             }
         }
         self.repair_faults();
-        for at in 0..self.worker_links.len() {
-            self.operator.world().resize_worker(at, ACCELERATORS);
+        for index in 0..self.worker_links.len() {
+            self.operator.world().resize_worker(index, ACCELERATORS);
         }
         self.withdraw_orders();
     }
@@ -600,8 +601,8 @@
                     _ => Value::Null,
                 };
                 let state = state["state"].as_str().unwrap_or_default();
-                let given_up = state == "failed" && self.has_crashed_twice(job);
-                if allowed.contains(&state) || given_up {
+                let may_have_failed = state == "failed" && self.has_crashed_twice(job);
+                if allowed.contains(&state) || may_have_failed {
                     break;
                 }
                 assert!(
@@ -632,7 +633,7 @@
             .collect()
     }
 
-    /// Returns whether at least two crashes of workers happened under one task of a job.
+    /// Returns whether workers crashed at least twice during runs of one task of a job.
     fn has_crashed_twice(&self, job: u64) -> bool {
         let runs = self.run_records(job);
         let crashed = |run: &&RunRecord| matches!(run.ended, Some((_, "crashed")));
@@ -699,8 +700,8 @@
 }
 
 /// Checks that the runs of a task do not overlap, that their numbers rise in the order in
-/// which they were ordered, that at most one completes, and that no more than the allowed
-/// number fail.
+/// which their start calls arrived, that at most one completes, and that no more than the
+/// allowed number fail.
 fn check_task(runs: &[&RunRecord], what: &str) {
     let now = Instant::now();
     for pair in runs.windows(2) {
@@ -711,17 +712,17 @@
         );
     }
     let mut by_order = runs.to_vec();
-    by_order.sort_by_key(|run| run.ordered);
+    by_order.sort_by_key(|run| run.call_arrived);
     for pair in by_order.windows(2) {
-        // A repeated order that had no answer, carried out by the next incarnation.
-        let copy = pair[0].run == pair[1].run && pair[0].worker == pair[1].worker;
-        let rises = pair[0].run < pair[1].run;
-        assert!(rises || copy, "run numbers do not rise: {what}");
+        // A repeated start call that had no answer, executed by the next incarnation.
+        let is_repeated = pair[0].run == pair[1].run && pair[0].worker == pair[1].worker;
+        let is_higher = pair[0].run < pair[1].run;
+        assert!(is_higher || is_repeated, "run numbers do not rise: {what}");
     }
     let ended = |kind: &str| {
         let counted = runs.iter().filter(|run| !run.discounted);
         counted
-            .filter(|run| matches!(run.ended, Some((_, own)) if own == kind))
+            .filter(|run| matches!(run.ended, Some((_, end_kind)) if end_kind == kind))
             .count()
     };
     assert!(ended("done") <= 1, "completed more than once: {what}");
@@ -748,8 +749,8 @@
 ) {
     for (job, sent) in sent {
         let steps = sent.body["steps"].as_array().cloned().unwrap_or_default();
-        for (at, step) in steps.iter().enumerate() {
-            let prefix = format!("{job:016x}.0.{at}.");
+        for (index, step) in steps.iter().enumerate() {
+            let prefix = format!("{job:016x}.0.{index}.");
             let runs = by_task.iter().filter(|(task, _)| task.starts_with(&prefix));
             let first = runs
                 .flat_map(|(_, runs)| runs.iter().map(|run| run.started))
@@ -758,8 +759,8 @@
             let Some(first) = first.filter(|_| !dependencies.is_empty()) else {
                 continue;
             };
-            for index in 0..steps[0]["count"].as_u64().unwrap_or(0) {
-                let earlier = format!("{job:016x}.0.0.{index}");
+            for task_index in 0..steps[0]["count"].as_u64().unwrap_or(0) {
+                let earlier = format!("{job:016x}.0.0.{task_index}");
                 let done = by_task.get(earlier.as_str()).is_some_and(|runs| {
                     runs.iter()
                         .any(|run| matches!(run.ended, Some((ended, "done")) if ended <= first))
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! A small simulated fleet for tests of the scheduler: its workers carry orders out at
-//! once, unless a test says otherwise, and tests advance its clock.
+//! A small simulated fleet for tests of the scheduler. Its workers execute the scheduler's
+//! calls at once by default, and tests advance its clock.
 
 use fuchsiaslip::core::{
     JobId,
@@ -51,7 +51,7 @@
 pub struct FakeWorker {
     pub running: BTreeMap<RunName, u32>,
     pub ended: Vec<EndedRow>,
-    pub next_end: u64,
+    pub last_end_number: u64,
     pub refused_runs: BTreeMap<TaskId, u64>,
     /// End of its lease, on its own clock.
     pub lease_end_ms: u64,
@@ -84,12 +84,12 @@
         self.lease_end_ms = self.lease_end_ms.max(lease_end_ms.min(longest_ms));
     }
 
-    /// Ends a run and lists its end.
+    /// Ends a run and adds it to the list of ended runs.
     pub fn end(&mut self, name: RunName, kind: EndKind) {
         if self.running.remove(&name).is_some() {
-            self.next_end += 1;
+            self.last_end_number += 1;
             self.ended.push(EndedRow {
-                number: self.next_end,
+                number: self.last_end_number,
                 name,
                 kind,
                 checkpoint: "".into(),
@@ -101,7 +101,7 @@
 
 /// An end that was acknowledged to its worker.
 #[derive(Clone, Debug)]
-pub struct Acknowledged {
+pub struct AcknowledgedEnd {
     pub worker: String,
     pub row: EndedRow,
     /// The progress that was stored of its job at that time.
@@ -130,7 +130,7 @@
     /// Whether the scheduler is informed that its view of the workers' entries is current.
     pub reports_entries_read: bool,
     /// Ends that were acknowledged to workers, in the order of the messages.
-    pub acknowledged: Vec<Acknowledged>,
+    pub acknowledged: Vec<AcknowledgedEnd>,
     /// Closed workers, with the runs that they may have.
     pub closed: HashMap<String, Option<ClosedRuns>>,
     /// All actions of the scheduler, newest last.
@@ -139,14 +139,14 @@
     pub starts: Vec<(RunName, String, u64)>,
     /// Every stop with the worker's name.
     pub stops: Vec<(RunName, String)>,
-    pub highest_last_seen: HashMap<String, u64>,
+    pub highest_acknowledged: HashMap<String, u64>,
     /// The reason for which workers refuse all starts, if they do.
     pub refusal: Option<StartRefusal>,
     /// Whether starts are lost before they arrive.
     pub loses_starts: bool,
     /// The usage of runs that workers report.
     pub usage: HashMap<RunName, f64>,
-    /// Every throttle order, with its percentage.
+    /// Every throttle call, with its percentage.
     pub throttles: Vec<(RunName, u32)>,
     /// Rack and data centre of workers outside the default ones.
     pub places: HashMap<String, (String, String)>,
@@ -154,7 +154,7 @@
     pub machines: BTreeMap<String, FakeMachine>,
     /// Machines whose upkeep began, with the times.
     pub upkeeps: Vec<(String, u64)>,
-    /// Whether orders for upkeep are answered.
+    /// Whether requests to begin upkeep are answered.
     pub upkeep_answers: bool,
     /// Tasks that crash each worker that starts them.
     pub crashing: HashSet<TaskId>,
@@ -172,7 +172,7 @@
     pub overlaps: Vec<RunName>,
     /// Every run that a crash ended, with the worker's name and the time.
     pub crashed: Vec<(RunName, String, u64)>,
-    /// Changes of workers in the future, with the time and the worker's name.
+    /// Scheduled changes of workers, with the time and the worker's name.
     scheduled_changes: Vec<(u64, String, WorkerChange)>,
     polls: Vec<PendingPoll>,
 }
@@ -188,7 +188,7 @@
     last_seen: u64,
 }
 
-/// A change of a worker that no order of the scheduler causes.
+/// A change of a worker that no call of the scheduler causes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum WorkerChange {
     Crash,
@@ -209,7 +209,7 @@
 #[derive(Clone, Debug)]
 pub struct FakeMachine {
     pub worker: String,
-    /// The time until which the machine is down.
+    /// Time at which the machine is up again.
     pub up_at_ms: u64,
     pub had_upkeep: bool,
 }
@@ -299,9 +299,9 @@
     }
 }
 
-/// Returns how long an urgent gang of two whole workers that requests one rack waits,
-/// after ten workers were added to the fleet that are each alone on a rack.
-pub fn wait_of_a_same_rack_gang(fleet: &mut Fleet) -> u64 {
+/// Adds ten workers, each on a rack of its own, and submits an urgent gang that needs two
+/// whole workers on one rack. Returns the gang's waiting time in milliseconds.
+pub fn same_rack_gang_wait_ms(fleet: &mut Fleet) -> u64 {
     for rack in 2..12 {
         fleet.add_worker(&format!("w{rack}"), &format!("r{rack}"));
     }
@@ -335,19 +335,20 @@
 }
 
 impl Fleet {
-    /// Creates an owner of the first epoch with workers `w0`, `w1`, ... on one rack.
+    /// Creates a fleet of workers `w0`, `w1`, ... on one rack, with an owner of the first
+    /// epoch.
     pub fn with_workers(count: usize) -> Self {
         Self::with_tuning(count, Tuning::default())
     }
 
-    /// As [`Fleet::with_workers`], with other bounds.
+    /// As [`Fleet::with_workers`], with the given tuning.
     pub fn with_tuning(count: usize, tuning: Tuning) -> Self {
         let start_ms = BEGIN_MS - WARM_UP_MS;
         let mut fleet = Self::without_workers(Scheduler::new(1, tuning, start_ms));
         fleet.now_ms = start_ms;
         fleet.send_input(Input::Configure(Arc::new(configuration(64))));
-        for at in 0..count {
-            fleet.add_worker(&format!("w{at}"), "r1");
+        for index in 0..count {
+            fleet.add_worker(&format!("w{index}"), "r1");
         }
         fleet.send_input(Input::StoredStateRead {
             earlier_owner_exited: true,
@@ -359,10 +360,10 @@
     /// Creates a fleet of `count` workers to which a job was just submitted; the tasks
     /// that fit have started.
     pub fn with_job(count: usize, record: JobRecord) -> (Self, JobId, JobRecord) {
-        const BEGUN_MS: u64 = 20;
+        const START_DELAY_MS: u64 = 20;
         let mut fleet = Self::with_workers(count);
         let id = fleet.submit(1, record.clone());
-        fleet.advance(BEGUN_MS);
+        fleet.advance(START_DELAY_MS);
         (fleet, id, record)
     }
 
@@ -374,11 +375,11 @@
         earlier_owner_exited: bool,
     ) -> Self {
         let known = configuration(64);
-        self.next_owner_under(epoch, known, jobs, earlier_owner_exited)
+        self.next_owner_with_configuration(epoch, known, jobs, earlier_owner_exited)
     }
 
     /// As [`Fleet::next_owner`], with `known` as the configuration of the new owner.
-    pub fn next_owner_under(
+    pub fn next_owner_with_configuration(
         &self,
         epoch: u64,
         known: ClusterConfiguration,
@@ -417,8 +418,8 @@
         }
     }
 
-    /// Returns the fleet of `self` under a new owner that knows the configuration and the
-    /// inputs that `send_inputs` sends it.
+    /// Returns the fleet of `self` under a new owner that receives the configuration and
+    /// then the inputs that `send_inputs` sends.
     pub fn next_owner_with_inputs(
         &self,
         epoch: u64,
@@ -480,7 +481,7 @@
             actions: Vec::new(),
             starts: Vec::new(),
             stops: Vec::new(),
-            highest_last_seen: HashMap::new(),
+            highest_acknowledged: HashMap::new(),
             refusal: None,
             loses_starts: false,
             usage: HashMap::new(),
@@ -562,7 +563,7 @@
     }
 
     /// Returns the number of machines that are down for their upkeep.
-    pub fn down(&self) -> usize {
+    pub fn down_machines(&self) -> usize {
         let machines = self.machines.values();
         machines
             .filter(|machine| machine.up_at_ms > self.now_ms)
@@ -578,10 +579,10 @@
         }
         machine.had_upkeep = true;
         machine.up_at_ms = self.now_ms + UPKEEP_MS;
-        let before = std::mem::take(&mut machine.worker);
-        self.workers.remove(&before);
+        let removed_worker = std::mem::take(&mut machine.worker);
+        self.workers.remove(&removed_worker);
         self.upkeeps.push((name.to_owned(), self.now_ms));
-        self.send_input(Input::WorkerUnlisted(before));
+        self.send_input(Input::WorkerUnlisted(removed_worker));
     }
 
     /// Adds a new worker for each machine whose upkeep is over.
@@ -625,11 +626,11 @@
         }
         self.scheduled_changes
             .retain(|(_, other, change)| other != name || *change != WorkerChange::Crash);
-        self.highest_last_seen.remove(name);
+        self.highest_acknowledged.remove(name);
         true
     }
 
-    /// Ends the other members of a lost run's gang, if it belongs to one.
+    /// Ends the other members of the gang of the run `lost`, if it belongs to a gang.
     fn end_gang_members(&mut self, lost: RunName) {
         let key = GroupKey::of(lost.task);
         let mut groups = self.scheduler.groups();
@@ -678,8 +679,8 @@
             .partition(|(at_ms, ..)| *at_ms <= now_ms);
         self.late_starts = later;
         for (_, worker, name, lease_end_ms) in due {
-            let there = self.workers.get_mut(&worker);
-            let in_time = there.filter(|fake| lease_end_ms >= fake.clock_ms(now_ms));
+            let current_worker = self.workers.get_mut(&worker);
+            let in_time = current_worker.filter(|fake| lease_end_ms >= fake.clock_ms(now_ms));
             if let Some(fake) = in_time {
                 fake.extend_lease(lease_end_ms, now_ms);
                 self.start(&worker, name);
@@ -710,7 +711,7 @@
         id
     }
 
-    /// Advances the clock and carries out all actions that are decided meanwhile.
+    /// Advances the clock in steps and executes the scheduler's actions at each step.
     pub fn advance(&mut self, by_ms: u64) {
         const STEP_MS: u64 = 10;
         let until_ms = self.now_ms + by_ms;
@@ -792,7 +793,7 @@
                     return;
                 }
                 self.record_acknowledged(&name, last_seen);
-                let seen = self.highest_last_seen.entry(name.clone()).or_default();
+                let seen = self.highest_acknowledged.entry(name.clone()).or_default();
                 *seen = last_seen.max(*seen);
                 let now_ms = self.now_ms;
                 if let Some(fake) = self.workers.get_mut(&name) {
@@ -818,8 +819,9 @@
                 let worker = callee.worker_name.to_string();
                 let now_ms = self.now_ms;
                 self.starts.push((name, worker.clone(), now_ms));
-                let there = *callee.address == *address_of(&worker) && !self.is_replaced(&worker);
-                let outcome = match (there, self.late_start_ms) {
+                let is_current =
+                    *callee.address == *address_of(&worker) && !self.is_replaced(&worker);
+                let outcome = match (is_current, self.late_start_ms) {
                     (true, Some(late_ms)) => {
                         let at_ms = now_ms + late_ms;
                         let late = (at_ms, worker.clone(), name, lease_end_ms);
@@ -843,9 +845,10 @@
             Action::Stop { callee, name } => {
                 let worker = callee.worker_name.to_string();
                 self.stops.push((name, worker.clone()));
-                let there = *callee.address == *address_of(&worker) && !self.is_replaced(&worker);
+                let is_current =
+                    *callee.address == *address_of(&worker) && !self.is_replaced(&worker);
                 let gone = !self.workers.contains_key(&worker);
-                let unresponsive = self.unresponsive.contains(&worker) || gone || !there;
+                let unresponsive = self.unresponsive.contains(&worker) || gone || !is_current;
                 if let Some(fake) = self
                     .workers
                     .get_mut(&worker)
@@ -854,7 +857,7 @@
                     fake.end(name, EndKind::Stopped);
                     fake.refused_runs.insert(name.task, name.run);
                 }
-                let outcome = match (there, unresponsive) {
+                let outcome = match (is_current, unresponsive) {
                     (false, _) => CallOutcome::OtherIncarnation,
                     (true, true) => CallOutcome::NoAnswer,
                     (true, false) => CallOutcome::Done,
@@ -955,7 +958,7 @@
 
     /// Records the ends that a poll with `last_seen` acknowledges for the first time.
     fn record_acknowledged(&mut self, worker: &str, last_seen: u64) {
-        let before = self.highest_last_seen.get(worker).copied().unwrap_or(0);
+        let before = self.highest_acknowledged.get(worker).copied().unwrap_or(0);
         let Some(fake) = self.workers.get(worker) else {
             return;
         };
@@ -964,7 +967,7 @@
                 continue;
             }
             let stored = self.stored.get(&row.name.task.job);
-            self.acknowledged.push(Acknowledged {
+            self.acknowledged.push(AcknowledgedEnd {
                 worker: worker.to_owned(),
                 row: row.clone(),
                 stored: stored.map(|(_, progress)| progress.clone()),
@@ -1011,10 +1014,10 @@
                 last_seen,
             } = poll;
             // A poll ends with the incarnation that it reached.
-            let there = self.workers.get(name).map(|fake| fake.incarnation_start_ms);
+            let current_start_ms = self.workers.get(name).map(|fake| fake.incarnation_start_ms);
             let unresponsive = self.unresponsive.contains(name)
-                || there.is_none()
-                || there != incarnation_start_ms;
+                || current_start_ms.is_none()
+                || current_start_ms != incarnation_start_ms;
             if unresponsive {
                 self.send_input(Input::PollFailed {
                     worker,
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -73,8 +73,8 @@
     /// The epoch of the owner that started it.
     pub epoch: u64,
     pub worker: usize,
-    /// When the order to start it arrived. It may have been carried out later.
-    pub ordered: Instant,
+    /// When the start call arrived. The run may have started later.
+    pub call_arrived: Instant,
     pub started: Instant,
     /// When it started, in milliseconds since the Unix epoch.
     pub started_ms: u64,
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug)]
 struct ActiveRun {
     run: u64,
-    arrived: Instant,
+    started: Instant,
     /// When it ends by itself; `None` for a member whose gang is incomplete.
     until: Option<Instant>,
     /// How it ends by itself.
@@ -123,10 +123,10 @@
     incarnation: u32,
     /// When this incarnation started, in milliseconds since the Unix epoch.
     incarnation_start_ms: u64,
-    /// The same as an instant. The worker's clock counts from here.
+    /// When this incarnation started, as an instant. The worker's clock counts from here.
     started: Option<Instant>,
     /// The highest epoch that it has seen.
-    fence: u64,
+    highest_epoch: u64,
     lease_end_ms: u64,
     running: BTreeMap<String, ActiveRun>,
     /// The highest run of each task that was stopped or has ended; starts up to it are
@@ -136,11 +136,11 @@
     ended: Vec<(u64, String, u64, &'static str)>,
     /// Indices of these ends in [`World::records`], by number.
     unacknowledged: BTreeMap<u64, usize>,
-    next_end: u64,
+    last_end_number: u64,
     pub cut: bool,
     /// Whether all runs that it starts fail.
     failing: bool,
-    /// Its present accelerators.
+    /// Current number of accelerators.
     accelerators: u64,
     /// Earlier numbers of accelerators, and when each was replaced.
     earlier_capacities: Vec<(u64, Instant)>,
@@ -188,8 +188,8 @@
         started.elapsed().as_millis() as u64 + FIRST_MS
     }
 
-    /// Returns the most accelerators that daemons may still count on: a reduction has no
-    /// effect until [`SHRINK_EFFECTIVE_AFTER`] has passed.
+    /// Returns the capacity that daemons may still assume: a reduction takes effect after
+    /// [`SHRINK_EFFECTIVE_AFTER`].
     fn effective_accelerators(&self) -> u64 {
         let recent = self.earlier_capacities.iter();
         let recent = recent.filter(|(_, since)| since.elapsed() < SHRINK_EFFECTIVE_AFTER);
@@ -285,8 +285,8 @@
     }
 
     /// Returns the key of a worker's entry.
-    pub fn worker_key(&self, at: usize) -> String {
-        format!("servers/{}", self.workers[at].id)
+    pub fn worker_key(&self, index: usize) -> String {
+        format!("servers/{}", self.workers[index].id)
     }
 
     /// Orders that a data centre gets no new tasks; daemons must ignore the value.
@@ -301,9 +301,9 @@
     }
 
     /// Moves a worker to a data centre and registers it there.
-    pub fn place_worker(&mut self, at: usize, data_centre: &str) {
-        self.workers[at].data_centre = data_centre.to_owned();
-        self.register(at, "ready");
+    pub fn place_worker(&mut self, index: usize, data_centre: &str) {
+        self.workers[index].data_centre = data_centre.to_owned();
+        self.register(index, "ready");
     }
 
     /// Returns a value decoded from JSON.
@@ -338,36 +338,36 @@
     }
 
     /// Cuts a worker off from all calls, or reconnects it.
-    pub fn cut_worker(&mut self, at: usize, cut: bool) {
-        self.workers[at].cut = cut;
+    pub fn cut_worker(&mut self, index: usize, cut: bool) {
+        self.workers[index].cut = cut;
     }
 
     /// Sets whether all runs that a worker starts fail.
-    pub fn set_failing(&mut self, at: usize, failing: bool) {
-        self.workers[at].failing = failing;
+    pub fn set_failing(&mut self, index: usize, failing: bool) {
+        self.workers[index].failing = failing;
     }
 
     /// Changes a worker's accelerators and its entry.
-    pub fn resize_worker(&mut self, at: usize, accelerators: u64) {
-        let worker = &mut self.workers[at];
+    pub fn resize_worker(&mut self, index: usize, accelerators: u64) {
+        let worker = &mut self.workers[index];
         let before = (worker.accelerators, Instant::now());
         worker.earlier_capacities.push(before);
         worker.accelerators = accelerators;
-        self.register(at, "ready");
+        self.register(index, "ready");
     }
 
     /// Ends all runs on a worker as failed.
-    pub fn fail_runs(&mut self, at: usize) {
-        self.process_due_events(at);
-        let tasks: Vec<String> = self.workers[at].running.keys().cloned().collect();
+    pub fn fail_runs(&mut self, index: usize) {
+        self.process_due_events(index);
+        let tasks: Vec<String> = self.workers[index].running.keys().cloned().collect();
         for task in tasks {
-            self.end_run(at, &task, "failed");
+            self.end_run(index, &task, "failed");
         }
     }
 
     /// Crashes a worker, which restarts after [`RESTART_DOWNTIME`].
-    pub fn crash_worker(&mut self, at: usize) {
-        self.crash_workers(&[at]);
+    pub fn crash_worker(&mut self, index: usize) {
+        self.crash_workers(&[index]);
     }
 
     /// Crashes several workers at the same moment; each is down for at least
@@ -377,14 +377,14 @@
         self.crash_for(workers, RESTART_DOWNTIME);
     }
 
-    fn start_next_incarnation(&mut self, at: usize) {
-        let worker = &mut self.workers[at];
+    fn start_next_incarnation(&mut self, index: usize) {
+        let worker = &mut self.workers[index];
         let unacknowledged_runs: Vec<usize> = worker.unacknowledged.values().copied().collect();
         let old = format!("servers/{}", worker.id);
         worker.incarnation += 1;
         let id = match self.keeps_names {
             true => worker.id.clone(),
-            false => format!("w{at}-{}", worker.incarnation),
+            false => format!("w{index}-{}", worker.incarnation),
         };
         *worker = FakeWorker {
             id,
@@ -404,22 +404,22 @@
         if !self.keeps_names {
             self.remove(&old);
         }
-        self.register(at, "ready");
+        self.register(index, "ready");
     }
 
     /// Crashes workers at the same moment; they answer no calls for at least `down`.
     /// All their runs end as crashed before gang members on other workers end as broken.
     fn crash_for(&mut self, workers: &[usize], down: Duration) {
         let mut crashed_runs = Vec::new();
-        for &at in workers {
-            let tasks: Vec<String> = self.workers[at].running.keys().cloned().collect();
+        for &index in workers {
+            let tasks: Vec<String> = self.workers[index].running.keys().cloned().collect();
             for task in tasks {
-                let run = self.record_end(at, &task, "crashed");
+                let run = self.record_end(index, &task, "crashed");
                 crashed_runs.extend(run.map(|run| (task, run)));
             }
             let restarts_at = Instant::now() + down;
-            let before = self.workers[at].restarts_at;
-            self.workers[at].restarts_at =
+            let before = self.workers[index].restarts_at;
+            self.workers[index].restarts_at =
                 Some(before.map_or(restarts_at, |before| before.max(restarts_at)));
         }
         for (task, run) in crashed_runs {
@@ -428,32 +428,32 @@
     }
 
     /// Returns whether a worker is down or cut off and therefore answers no calls.
-    fn is_out_of_reach(&self, at: usize) -> bool {
-        let worker = &self.workers[at];
+    fn is_out_of_reach(&self, index: usize) -> bool {
+        let worker = &self.workers[index];
         worker.cut || worker.restarts_at.is_some()
     }
 
     /// Processes the due events of every worker.
     fn process_all_due_events(&mut self) {
-        for at in 0..self.workers.len() {
-            self.process_due_events(at);
+        for index in 0..self.workers.len() {
+            self.process_due_events(index);
         }
     }
 
     /// Processes the due events of a worker: its restart, ends of runs and lease expiry.
-    fn process_due_events(&mut self, at: usize) {
-        if self.workers[at]
+    fn process_due_events(&mut self, index: usize) {
+        if self.workers[index]
             .restarts_at
             .is_some_and(|restarts_at| restarts_at <= Instant::now())
         {
-            self.start_next_incarnation(at);
+            self.start_next_incarnation(index);
         }
-        self.end_due_runs(at);
+        self.end_due_runs(index);
     }
 
     /// Writes a worker's entry.
-    pub fn register(&mut self, at: usize, state: &str) {
-        let worker = &self.workers[at];
+    pub fn register(&mut self, index: usize, state: &str) {
+        let worker = &self.workers[index];
         let value = json!({ "service": "s", "address": worker.address, "zone": worker.data_centre,
             "state": state, "remaining_ms": 2_000, "labels": ["a", "r1"], "sequence": 1,
             "born": worker.incarnation_start_ms,
@@ -463,8 +463,8 @@
     }
 
     /// Returns the number of ends that a worker lists.
-    pub fn listed_ends(&self, at: usize) -> usize {
-        self.workers[at].ended.len()
+    pub fn listed_ends(&self, index: usize) -> usize {
+        self.workers[index].ended.len()
     }
 
     /// Returns the number of runs of a job on all workers.
@@ -564,12 +564,12 @@
     fn transact(&mut self, body: &Value) -> (StatusCode, Value) {
         let rows = |field: &str| body[field].as_array().cloned().unwrap_or_default();
         let expected = rows("expected_revision");
-        let holds = expected.iter().all(|row| {
+        let conditions_hold = expected.iter().all(|row| {
             let key = row["key"].as_str().unwrap_or_default();
             let revision = self.items.get(key).map_or(0, |item| item.revision);
             row["revision"].as_u64() == Some(revision)
         });
-        if !holds {
+        if !conditions_hold {
             let keys = expected.iter().filter_map(|row| row["key"].as_str());
             let items: Vec<Value> = keys.filter_map(|key| self.item_json(key)).collect();
             return (StatusCode::PRECONDITION_FAILED, json!({ "items": items }));
@@ -589,15 +589,15 @@
     }
 
     /// Ends the runs of a worker that are due or whose lease has expired.
-    fn end_due_runs(&mut self, at: usize) {
+    fn end_due_runs(&mut self, index: usize) {
         let now = Instant::now();
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[index];
         let clock_ms = worker.clock_ms();
         let lease_expired = clock_ms > worker.lease_end_ms;
         let end_of = |run: &ActiveRun| match run.until {
             Some(until) if until <= now => Some((until, run.end_kind)),
             _ if lease_expired => Some((now, "lapsed")),
-            None if run.arrived + GANG_TIMEOUT <= now => Some((now, "alone")),
+            None if run.started + GANG_TIMEOUT <= now => Some((now, "alone")),
             _ => None,
         };
         let running = worker.running.iter();
@@ -615,19 +615,19 @@
         }
         for (task, (_, end_kind)) in due_runs {
             match end_kind {
-                "crashed" => self.crash_for(&[at], TASK_CRASH_DOWNTIME),
-                _ => self.end_run(at, &task, end_kind),
+                "crashed" => self.crash_for(&[index], TASK_CRASH_DOWNTIME),
+                _ => self.end_run(index, &task, end_kind),
             }
         }
     }
 
     /// Ends a run; the other members of its gang end with it.
-    fn end_run(&mut self, at: usize, task: &str, end_kind: &'static str) {
-        let Some(run) = self.record_end(at, task, end_kind) else {
+    fn end_run(&mut self, index: usize, task: &str, end_kind: &'static str) {
+        let Some(run) = self.record_end(index, task, end_kind) else {
             return;
         };
-        let others = if end_kind == "done" { "done" } else { "broken" };
-        self.end_members(task, run, others);
+        let others_end_kind = if end_kind == "done" { "done" } else { "broken" };
+        self.end_members(task, run, others_end_kind);
     }
 
     /// Ends the members of a task's gang that are still running.
@@ -635,24 +635,27 @@
         if !self.step_of(task).gang {
             return;
         }
-        for (at, member) in self.members(task, run) {
-            self.record_end(at, &member, end_kind);
+        for (index, member) in self.members(task, run) {
+            self.record_end(index, &member, end_kind);
         }
     }
 
-    fn record_end(&mut self, at: usize, task: &str, end_kind: &'static str) -> Option<u64> {
-        let worker = &mut self.workers[at];
+    fn record_end(&mut self, index: usize, task: &str, end_kind: &'static str) -> Option<u64> {
+        let worker = &mut self.workers[index];
         let ended_run = worker.running.remove(task)?;
-        worker.next_end += 1;
+        worker.last_end_number += 1;
         worker
             .unacknowledged
-            .insert(worker.next_end, ended_run.record);
-        worker
-            .ended
-            .push((worker.next_end, task.to_owned(), ended_run.run, end_kind));
+            .insert(worker.last_end_number, ended_run.record);
+        worker.ended.push((
+            worker.last_end_number,
+            task.to_owned(),
+            ended_run.run,
+            end_kind,
+        ));
         worker.highest_ended.insert(task.to_owned(), ended_run.run);
-        let by_itself = ended_run.until.filter(|_| end_kind == ended_run.end_kind);
-        let ended = by_itself.unwrap_or_else(Instant::now);
+        let natural_end = ended_run.until.filter(|_| end_kind == ended_run.end_kind);
+        let ended = natural_end.unwrap_or_else(Instant::now);
         self.records[ended_run.record].ended = Some((ended, end_kind));
         Some(ended_run.run)
     }
@@ -671,23 +674,23 @@
         let prefix = format!("{gang}.");
         let workers = self.workers.iter().enumerate();
         workers
-            .flat_map(|(at, worker)| worker.running.iter().map(move |entry| (at, entry)))
+            .flat_map(|(index, worker)| worker.running.iter().map(move |entry| (index, entry)))
             .filter(|(_, (name, member_run))| name.starts_with(&prefix) && member_run.run == run)
-            .map(|(at, (name, _))| (at, name.clone()))
+            .map(|(index, (name, _))| (index, name.clone()))
             .collect()
     }
 
     /// Starts a run. Returns the reason if the worker refuses it.
     fn start_run(
         &mut self,
-        at: usize,
+        index: usize,
         task: String,
         run: u64,
         body: &Value,
-        ordered: Instant,
+        call_arrived: Instant,
     ) -> Option<&'static str> {
         let step = self.step_of(&task);
-        let worker = &self.workers[at];
+        let worker = &self.workers[index];
         let used: u64 = worker.running.values().map(|run| run.accelerators).sum();
         let wanted = used + step.accelerators;
         if self.checks_capacity && wanted > worker.accelerators {
@@ -695,8 +698,9 @@
         }
         if wanted > worker.effective_accelerators() {
             let capacity = worker.accelerators;
-            self.overcommitted_starts
-                .push(format!("{task} run {run} on {at}: {wanted} of {capacity}"));
+            self.overcommitted_starts.push(format!(
+                "{task} run {run} on {index}: {wanted} of {capacity}"
+            ));
         }
         let spec = body["spec"].as_str().unwrap_or_default();
         let fails = worker.failing || spec == "poison";
@@ -709,19 +713,19 @@
         let now = Instant::now();
         let active_run = ActiveRun {
             run,
-            arrived: now,
+            started: now,
             until: (!step.gang).then_some(now + run_time),
             end_kind,
             accelerators: step.accelerators,
             record: self.records.len(),
         };
-        self.workers[at].running.insert(task.clone(), active_run);
+        self.workers[index].running.insert(task.clone(), active_run);
         self.records.push(RunRecord {
             task: task.clone(),
             run,
             epoch: body["fencing_token"].as_u64().unwrap_or(0),
-            worker: at,
-            ordered,
+            worker: index,
+            call_arrived,
             started: now,
             started_ms: unix_ms(),
             ended: None,
@@ -730,8 +734,8 @@
         if step.gang {
             let members = self.members(&task, run);
             if members.len() == step.count {
-                for (at, member) in members {
-                    if let Some(member_run) = self.workers[at].running.get_mut(&member) {
+                for (index, member) in members {
+                    if let Some(member_run) = self.workers[index].running.get_mut(&member) {
                         member_run.until = Some(now + run_time);
                     }
                 }
@@ -747,13 +751,13 @@
         self.late_starts && self.starts.is_multiple_of(LATE_ONE_IN)
     }
 
-    /// Returns whether a call has a lower epoch than the worker has seen, and records its
-    /// epoch.
-    fn is_fenced(&mut self, at: usize, body: &Value) -> bool {
-        let fence = body["fencing_token"].as_u64().unwrap_or(0);
-        let worker = &mut self.workers[at];
-        let is_fenced = fence < worker.fence;
-        worker.fence = worker.fence.max(fence);
+    /// Returns whether the worker must refuse a call because its epoch is too low, and
+    /// records a higher epoch.
+    fn check_fence(&mut self, index: usize, body: &Value) -> bool {
+        let epoch = body["fencing_token"].as_u64().unwrap_or(0);
+        let worker = &mut self.workers[index];
+        let is_fenced = epoch < worker.highest_epoch;
+        worker.highest_epoch = worker.highest_epoch.max(epoch);
         is_fenced
     }
 
@@ -761,31 +765,31 @@
     /// answer because that incarnation has exited or is out of reach.
     fn call_incarnation(
         &mut self,
-        (at, incarnation): (usize, u32),
+        (index, incarnation): (usize, u32),
         call: &str,
         body: &Value,
         arrived: Instant,
     ) -> Option<(StatusCode, Value)> {
-        self.process_due_events(at);
-        let is_current = self.workers[at].incarnation == incarnation;
-        let can_answer = is_current && !self.is_out_of_reach(at);
-        can_answer.then(|| self.call_worker(at, call, body, arrived))
+        self.process_due_events(index);
+        let is_current = self.workers[index].incarnation == incarnation;
+        let can_answer = is_current && !self.is_out_of_reach(index);
+        can_answer.then(|| self.call_worker(index, call, body, arrived))
     }
 
     /// Carries out a call to a worker that arrived at `arrived`.
     fn call_worker(
         &mut self,
-        at: usize,
+        index: usize,
         call: &str,
         body: &Value,
         arrived: Instant,
     ) -> (StatusCode, Value) {
-        let clock_ms = self.workers[at].clock_ms();
+        let clock_ms = self.workers[index].clock_ms();
         let refuse = |reason: &str| {
             let answer = json!({ "clock_ms": clock_ms, "reason": reason });
             (StatusCode::CONFLICT, answer)
         };
-        if self.is_fenced(at, body) {
+        if self.check_fence(index, body) {
             return refuse("fence");
         }
         let task = body["task"].as_str().unwrap_or_default().to_owned();
@@ -797,7 +801,7 @@
                     return refuse("late");
                 }
                 let deadline_ms = deadline_ms.min(clock_ms + MAX_LEASE_MS);
-                let worker = &mut self.workers[at];
+                let worker = &mut self.workers[index];
                 worker.lease_end_ms = worker.lease_end_ms.max(deadline_ms);
                 if worker
                     .highest_ended
@@ -813,28 +817,28 @@
                 {
                     return (StatusCode::OK, json!({ "clock_ms": clock_ms }));
                 }
-                if let Some(reason) = self.start_run(at, task, run, body, arrived) {
+                if let Some(reason) = self.start_run(index, task, run, body, arrived) {
                     return refuse(reason);
                 }
             }
             "run-stop" => {
-                let highest_ended = self.workers[at]
+                let highest_ended = self.workers[index]
                     .highest_ended
                     .entry(task.clone())
                     .or_default();
                 *highest_ended = run.max(*highest_ended);
-                let is_running = self.workers[at]
+                let is_running = self.workers[index]
                     .running
                     .get(&task)
                     .is_some_and(|active_run| active_run.run == run);
                 if is_running {
-                    self.end_run(at, &task, "stopped");
+                    self.end_run(index, &task, "stopped");
                 }
             }
             _ => {
                 let seen = body["last_seen"].as_u64().unwrap_or(0);
                 let deadline_ms = deadline_ms.min(clock_ms + MAX_LEASE_MS);
-                let worker = &mut self.workers[at];
+                let worker = &mut self.workers[index];
                 worker.lease_end_ms = worker.lease_end_ms.max(deadline_ms);
                 worker.ended.retain(|(number, ..)| *number > seen);
                 worker.unacknowledged.retain(|number, _| *number > seen);
@@ -844,8 +848,8 @@
                     .map(|(task, active_run)| {
                         let percent = active_run.until.map_or(0, |until| {
                             let run_ms =
-                                until.duration_since(active_run.arrived).as_millis().max(1);
-                            active_run.arrived.elapsed().as_millis() * 100 / run_ms
+                                until.duration_since(active_run.started).as_millis().max(1);
+                            active_run.started.elapsed().as_millis() * 100 / run_ms
                         });
                         json!([task, active_run.run, "", percent.min(99) as u64])
                     })
@@ -894,9 +898,9 @@
             calls: 0,
             writes: 0,
             workers: (0..worker_count)
-                .map(|at| {
+                .map(|index| {
                     let worker = FakeWorker {
-                        id: format!("w{at}"),
+                        id: format!("w{index}"),
                         accelerators: ACCELERATORS,
                         data_centre: "z".to_owned(),
                         ..FakeWorker::default()
@@ -912,16 +916,17 @@
         let (worker_sender, worker_receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
-                let own = shared.clone();
+                let server_world = shared.clone();
                 let (store, serving) =
-                    bind(move |request| answer_store(own.clone(), request)).await;
-                for at in 0..worker_count {
-                    let own = shared.clone();
+                    bind(move |request| answer_store(server_world.clone(), request)).await;
+                for index in 0..worker_count {
+                    let server_world = shared.clone();
                     let (address, serving) =
-                        bind(move |request| answer_worker(own.clone(), at, request)).await;
+                        bind(move |request| answer_worker(server_world.clone(), index, request))
+                            .await;
                     actix_rt::spawn(serving);
                     worker_sender
-                        .send((at, address))
+                        .send((index, address))
                         .expect("the test thread receives");
                 }
                 drop(worker_sender);
@@ -935,10 +940,10 @@
                 serving.await;
             });
         });
-        for (at, address) in worker_receiver {
+        for (index, address) in worker_receiver {
             let mut world = lock(&world);
-            world.workers[at].address = link(at, address).to_string();
-            world.register(at, "ready");
+            world.workers[index].address = link(index, address).to_string();
+            world.register(index, "ready");
         }
         let store = store_receiver.recv().expect("the stand-in starts");
         Self { store, world }
@@ -1103,18 +1108,18 @@
 
 async fn transact(world: Arc<Mutex<World>>, mode: StoreMode, body: Value) -> Response<BoxBody> {
     const LATE_DELAY: Duration = Duration::from_millis(1_500);
-    const LOST_ONE_IN: u64 = 3;
-    let lost = {
+    const UNANSWERED_ONE_IN: u64 = 3;
+    let is_unanswered = {
         let mut world = lock(&world);
         world.writes += 1;
-        world.writes.is_multiple_of(LOST_ONE_IN)
+        world.writes.is_multiple_of(UNANSWERED_ONE_IN)
     };
     match mode {
-        StoreMode::LosingAnswers if lost => {
+        StoreMode::LosingAnswers if is_unanswered => {
             lock(&world).transact(&body);
             no_answer().await
         }
-        StoreMode::Late if lost => {
+        StoreMode::Late if is_unanswered => {
             actix_rt::spawn(async move {
                 actix_rt::time::sleep(LATE_DELAY).await;
                 lock(&world).transact(&body);
@@ -1127,7 +1132,7 @@
 
 async fn answer_worker(
     world: Arc<Mutex<World>>,
-    at: usize,
+    index: usize,
     mut request: Request,
 ) -> Response<BoxBody> {
     const CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -1139,11 +1144,11 @@
     let call = request.path().trim_start_matches("/-/").to_owned();
     let receiver = {
         let mut world = lock(&world);
-        world.process_due_events(at);
-        let worker = &world.workers[at];
+        world.process_due_events(index);
+        let worker = &world.workers[index];
         let is_expected = expected.as_deref() == Some(&*worker.id);
-        let receiver = is_expected.then_some((at, worker.incarnation));
-        (!world.is_out_of_reach(at)).then_some(receiver)
+        let receiver = is_expected.then_some((index, worker.incarnation));
+        (!world.is_out_of_reach(index)).then_some(receiver)
     };
     let receiver = match receiver {
         None => return no_answer().await,
--- a/tests/support/replay/worker.rs
+++ b/tests/support/replay/worker.rs
@@ -53,7 +53,7 @@
     /// Ends that are not yet acknowledged.
     pub ended: Vec<EndedRow>,
     /// Number of the last end.
-    pub next_end: u64,
+    pub last_end_number: u64,
     /// The highest run number that is refused, by task.
     pub refused: HashMap<fuchsiaslip::scheduler::TaskId, u64>,
     pub slowness: f64,
@@ -134,9 +134,9 @@
             self.thrown_away_core_s += cores * worked_ms as f64 / 1_000.0;
         }
         let worker = &mut self.workers[at];
-        worker.next_end += 1;
+        worker.last_end_number += 1;
         worker.ended.push(EndedRow {
-            number: worker.next_end,
+            number: worker.last_end_number,
             name,
             kind,
             checkpoint: if saved_ms > 0 {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -85,7 +85,7 @@
     WorkerUnreachable,
     WorkerFailsStarts,
     /// Calls to workers take effect, but their answers are lost.
-    FramesLost,
+    WorkerAnswerLost,
     /// A caller loses the replies to its requests in progress.
     CallerGone,
     WorkerLeaving,
@@ -105,7 +105,7 @@
         Fault::WorkerRestarts,
         Fault::WorkerUnreachable,
         Fault::WorkerFailsStarts,
-        Fault::FramesLost,
+        Fault::WorkerAnswerLost,
         Fault::CallerGone,
         Fault::WorkerLeaving,
     ];
@@ -123,7 +123,7 @@
     owner: Owner,
     alive: bool,
     paused_until_ms: u64,
-    /// Until then its calls to workers fail.
+    /// Time until which its calls to workers fail.
     cut_off_until_ms: u64,
 }
 
@@ -163,8 +163,8 @@
     }
 }
 
-/// Returns the index of the caller whose job has reached a given step.
-pub type Reached = Box<dyn Fn(&World) -> Option<usize>>;
+/// Returns the index of a caller whose job has reached the step to test, if there is one.
+pub type JobStepPredicate = Box<dyn Fn(&World) -> Option<usize>>;
 
 /// The simulated data centre.
 pub struct World {
@@ -175,7 +175,7 @@
     pub violations: Vec<String>,
     nodes: Vec<Node>,
     /// Messages in flight by time of delivery and sequence number.
-    queue: BTreeMap<(u64, u64), Delivery>,
+    in_flight: BTreeMap<(u64, u64), Delivery>,
     next_delivery: u64,
     next_token: u64,
     /// Caller of each unanswered request.
@@ -191,11 +191,11 @@
     leaving_since_ms: BTreeMap<String, u64>,
     duplicate_answers: u32,
     late_answers: u32,
-    lost_frames: u32,
+    lost_worker_answers: u32,
     /// Highest configuration version that an owner has had in force.
     highest_version: u64,
-    /// Faults that are still to be injected, and when.
-    trigger: Option<(Reached, Vec<Fault>)>,
+    /// Faults to inject, and the condition that triggers them.
+    trigger: Option<(JobStepPredicate, Vec<Fault>)>,
 }
 
 impl World {
@@ -207,7 +207,7 @@
             callers: Vec::new(),
             violations: Vec::new(),
             nodes: Vec::new(),
-            queue: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_delivery: 0,
             next_token: 0,
             tokens: HashMap::new(),
@@ -225,7 +225,7 @@
             leaving_since_ms: BTreeMap::new(),
             duplicate_answers: 0,
             late_answers: 0,
-            lost_frames: 0,
+            lost_worker_answers: 0,
             highest_version: 0,
             trigger: None,
         };
@@ -284,7 +284,7 @@
 
     fn deliver(&mut self, delay_ms: u64, delivery: Delivery) {
         self.next_delivery += 1;
-        self.queue
+        self.in_flight
             .insert((self.now_ms + delay_ms, self.next_delivery), delivery);
     }
 
@@ -392,14 +392,14 @@
 
     fn run_worker_call(&mut self, node: usize, call: CallId, name: &str, request: WorkerCall) {
         let is_cut_off = self.nodes[node].cut_off_until_ms > self.now_ms;
-        let is_lost = self.lost_frames > 0;
+        let is_lost = self.lost_worker_answers > 0;
         let result = match self.workers.get_mut(name) {
             Some(worker) if !is_cut_off => {
                 let answer = worker.handle(request, self.now_ms);
                 // The call takes effect, and only its answer is lost.
                 match is_lost {
                     true => {
-                        self.lost_frames -= 1;
+                        self.lost_worker_answers -= 1;
                         Err(fuchsiaslip::backend::WorkerFailure::Unresponsive)
                     }
                     false => answer,
@@ -440,7 +440,7 @@
     }
 
     /// Injects `faults` as soon as `reached` returns a caller.
-    pub fn inject_when(&mut self, reached: Reached, faults: &[Fault]) {
+    pub fn inject_when(&mut self, reached: JobStepPredicate, faults: &[Fault]) {
         self.trigger = Some((reached, faults.to_vec()));
     }
 
@@ -462,12 +462,12 @@
     /// Advances the time by one tick and delivers what has become due.
     pub fn step(&mut self) {
         let until_ms = self.now_ms + TICK_MS;
-        while let Some((&(at_ms, order), _)) = self.queue.first_key_value() {
+        while let Some((&(at_ms, sequence), _)) = self.in_flight.first_key_value() {
             if at_ms > until_ms {
                 break;
             }
             self.now_ms = self.now_ms.max(at_ms);
-            match self.queue.remove(&(at_ms, order)) {
+            match self.in_flight.remove(&(at_ms, sequence)) {
                 Some(Delivery::StoreCall(node, call, request)) => {
                     self.run_store_call(node, call, request);
                 }
@@ -490,7 +490,7 @@
         }
         self.send_requests();
         self.inject_if_triggered();
-        self.check_always();
+        self.check_invariants();
     }
 
     /// Simulates the worker monitors: polls every worker and reports the results
@@ -676,7 +676,7 @@
             Fault::WorkerFailsStarts => {
                 self.failing_until_ms.insert(worker, now_ms + 10_000);
             }
-            Fault::FramesLost => self.lost_frames += 3,
+            Fault::WorkerAnswerLost => self.lost_worker_answers += 3,
             Fault::CallerGone => {
                 self.tokens.retain(|_, index| *index != caller);
                 self.callers[caller].gone = true;
@@ -715,7 +715,7 @@
 
     /// Checks that the configuration version never decreases and that workers
     /// that are leaving get no new work.
-    fn check_always(&mut self) {
+    fn check_invariants(&mut self) {
         if let Some(version) = self.cell().map(Cell::configuration_version) {
             if version < self.highest_version {
                 self.violations
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -105,7 +105,7 @@
     let id = job.0;
 
     let unknown = ClusterConfiguration::default();
-    let mut next = fleet.next_owner_under(2, unknown, &[job], true);
+    let mut next = fleet.next_owner_with_configuration(2, unknown, &[job], true);
     next.advance(100);
     let status_without_terms = next.scheduler.job_status(id);
     next.send_input(Input::Configure(Arc::new(configuration(64))));
@@ -126,7 +126,7 @@
     fleet.end_all(id, EndKind::Failed);
 
     let unknown = ClusterConfiguration::default();
-    let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, unknown, &[(id, job)], true);
     next.advance(100);
     next.send_input(Input::Configure(Arc::new(configuration(64))));
     next.advance(2_000);
@@ -202,7 +202,7 @@
     let (mut fleet, id, job) = Fleet::with_job(2, accepted_under(1, 2));
     fleet.end_all(id, EndKind::Failed);
 
-    let mut next = fleet.next_owner_under(2, without_plain(2), &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, without_plain(2), &[(id, job)], true);
     next.advance(2_000);
 
     assert_second_attempt_completes(&mut next, id);
@@ -244,7 +244,7 @@
     fleet.advance(100);
 
     let unknown = ClusterConfiguration::default();
-    let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, unknown, &[(id, job)], true);
     next.advance(200);
     next.send_input(Input::Configure(Arc::new(with_max_attempts(1, 1))));
     next.advance(200);
@@ -265,7 +265,7 @@
     let objective_with_terms = objective(&fleet);
 
     let unknown = ClusterConfiguration::default();
-    let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, unknown, &[(id, job)], true);
     next.advance(200);
     let objective_without_terms = objective(&next);
     next.send_input(Input::Configure(Arc::new(configuration(64))));
@@ -283,7 +283,7 @@
 fn runs_of_a_job_with_unknown_terms_are_not_preempted() {
     let (fleet, id, job) = Fleet::with_job(1, record("plain", vec![step(8, 1)]));
 
-    let mut next = fleet.next_owner_under(2, without_plain(2), &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, without_plain(2), &[(id, job)], true);
     next.advance(200);
     let mut urgent = record("urgent", vec![step(8, 1)]);
     urgent.received_ms = next.now_ms;
@@ -306,7 +306,7 @@
     let (fleet, id, job) = Fleet::with_job(2, record("plain", vec![step(1, 1)]));
     let (there, _) = fleet.running()[0].clone();
     let unknown = ClusterConfiguration::default();
-    let mut next = fleet.next_owner_under(2, unknown, &[(id, job)], true);
+    let mut next = fleet.next_owner_with_configuration(2, unknown, &[(id, job)], true);
     next.advance(50);
 
     next.send_input(Input::WorkerRegistered(leaving_info(&there, 100)));
@@ -354,7 +354,7 @@
     fleet.store_answers = false;
     fleet.end_all(id, EndKind::Failed);
     let unknown = ClusterConfiguration::default();
-    let mut second = fleet.next_owner_under(2, unknown, &[(id, job.clone())], true);
+    let mut second = fleet.next_owner_with_configuration(2, unknown, &[(id, job.clone())], true);
     second.advance(200);
 
     let mut third = second.next_owner(3, &[(id, job)], true);
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -50,7 +50,7 @@
     let mut most_down = 0;
     while fleet.now_ms < until_ms && !is_stored(fleet, true) {
         fleet.advance(STEP_MS);
-        most_down = most_down.max(fleet.down());
+        most_down = most_down.max(fleet.down_machines());
         // A run without progress would be stopped as hanging.
         let runs = fleet
             .workers
