--- a/src/core/explain.rs
+++ b/src/core/explain.rs
@@ -38,7 +38,7 @@
     /// Its class's name.
     #[prost(string, tag = "3")]
     pub class: String,
-    /// Name of its state, the same as in the metrics.
+    /// Name of its state, such as `queued` or `running`.
     #[prost(string, tag = "4")]
     pub state: String,
     /// Its outcome, as named by the ledger.
